--- a/packages/core/dispatcher.ts
+++ b/packages/core/dispatcher.ts
@@ -161,7 +161,9 @@
       event.marks.forEach((mark) => state.suspects.addForeign(mark, state.now));
       return ending.separateSuspects(state, event.marks);
     case "cleared":
-      event.fingerprints.forEach((one) => state.suspects.clear(one));
+      event.fingerprints.forEach((fingerprint) =>
+        state.suspects.clear(fingerprint)
+      );
       return;
     case "key_withdrawn":
       return ending.withdrawKey(state, event.keyId);
--- a/packages/core/events.ts
+++ b/packages/core/events.ts
@@ -174,6 +174,7 @@
     readonly grants: readonly Grant[];
     /** Servers of that failure domain that this host may use. */
     readonly servers: readonly ServerInfo[];
+    /** When this host sent the demand on which the grants are based, monotonic ms. */
     readonly asOf: number;
   }
   | {
--- a/packages/core/progress.ts
+++ b/packages/core/progress.ts
@@ -31,7 +31,7 @@
 }
 
 /**
- * Records that a server responded, so that its failure domain is not taken for down.
+ * Records that a server responded, so that its failure domain counts as reachable.
  *
  * @example
  * recordResponse(state, server);
