--- a/packages/core/allocation.ts
+++ b/packages/core/allocation.ts
@@ -1,54 +1,56 @@
 /**
- * The failure domain's allocator of slots. One host, the first by hash among
- * the live ones, gathers the demand of all hosts by pool and class, and grants
- * each host slots: guaranteed shares first, then tier by tier, evenly within a
- * tier. It is soft state: if two hosts allocate for a moment, engines are
- * overcommitted and queue, and no promise depends on it.
+ * Allocates the slots of a failure domain. One host, the capacity leader, which
+ * is the first live host by hash, collects the demand of all hosts by pool and
+ * class and grants slots to each host: guaranteed shares first, then tier by
+ * tier, evenly within a tier. The grants are soft state: if two hosts allocate
+ * for a short time, engines are overcommitted and queue requests, but no
+ * guarantee depends on it.
  */
 import type * as config from "./config.ts";
 import * as constants from "./constants.ts";
 import type * as events from "./events.ts";
 
-/** Demand older than this is forgotten, in ms. */
+/** Age at which the demand of a host expires, in ms. */
 const DEMAND_VALID_MS = 15_000;
-/** The same for hosts of other failure domains, whose grants end by themselves. */
-const VISITOR_VALID_MS = constants.GRANT_VALID_MS;
+/** Age at which the demand of a host of another failure domain expires, in ms. Its grants expire after the same time. */
+const REMOTE_DEMAND_VALID_MS = constants.GRANT_VALID_MS;
 
-/** What the allocator must know of a pool. */
+/** Capacity of a pool as the allocator needs it. */
 export interface PoolCapacity {
   readonly pool: string;
-  /** Slots of its live servers. */
+  /** Slots of its live backend servers. */
   readonly slots: number;
   /** Guaranteed share of each class. */
   readonly shares: ReadonlyMap<string, number>;
-  /** Its live servers, of which some are lent to hosts of other failure domains. */
+  /** Its live backend servers, some of which are lent to hosts of other failure domains. */
   readonly servers: readonly events.ServerInfo[];
 }
 
+/** The last demand that a host reported. */
 interface HostDemand {
   readonly at: number;
-  /** Whether the host stands in another failure domain. */
-  readonly visiting: boolean;
+  /** Whether the host belongs to another failure domain. */
+  readonly remote: boolean;
   readonly pools: ReadonlyMap<string, events.PoolDemand>;
 }
 
-/** One class of one host, with the slots it is given. */
+/** Demand of one class at one host and the slots granted to it. */
 interface Claimant {
   readonly host: string;
-  readonly visiting: boolean;
+  readonly remote: boolean;
   readonly className: string;
   readonly tier: number;
-  readonly wanted: number;
+  readonly demand: number;
   readonly running: number;
-  given: number;
+  granted: number;
 }
 
 /**
- * Counts the slots of a pool that are granted to hosts. A call of a plain
- * service is over before word of it reaches the leader, so a part of the slots
- * that are granted always stands idle at one host while work waits at another;
- * granting some more keeps the service busy. Engines' work lasts far longer
- * than word of it takes.
+ * Computes how many slots of a pool the allocator grants. Calls of a plain
+ * service end before their report reaches the capacity leader, so some granted
+ * slots are always idle at one host while requests are queued at another.
+ * Granting more slots than exist keeps the service busy. Requests of engines
+ * last far longer than a report takes, so engines need no surplus.
  *
  * @example
  * countGrantable({ serves: "service" }, 8); // 10
@@ -61,44 +63,44 @@
   return Math.round(slots * factor);
 }
 
-/** Gathers demand and grants slots. */
+/** Collects the demand of all hosts and grants slots to them. */
 export class CapacityAllocator {
   readonly #demands = new Map<string, HostDemand>();
 
-  /** Takes a host's demand. */
+  /** Replaces the demand of a host. */
   setDemand(
     host: string,
     { demands, now, visiting = false }: {
       readonly demands: readonly events.PoolDemand[];
       readonly now: number;
-      /** @default false */
+      /** Whether the host belongs to another failure domain. @default false */
       readonly visiting?: boolean;
     },
   ): void {
     this.#demands.set(host, {
       at: now,
-      visiting,
+      remote: visiting,
       pools: new Map(demands.map((demand) => [demand.pool, demand])),
     });
   }
 
-  /** Forgets all hosts of this failure domain but these. */
+  /** Drops the demand of all hosts of this failure domain except the given ones. */
   keepHosts(hosts: ReadonlySet<string>): void {
     [...this.#demands]
-      .filter(([host, demand]) => !demand.visiting && !hosts.has(host))
+      .filter(([host, demand]) => !demand.remote && !hosts.has(host))
       .forEach(([host]) => this.#demands.delete(host));
   }
 
   /**
-   * Chooses servers to lend to a host of another failure domain: those that run
-   * least, a few of each pool that it asks for.
+   * Selects backend servers to lend to a host of another failure domain: the
+   * least loaded ones of each pool that the host demands.
    */
   listLent(
     host: string,
     capacities: readonly PoolCapacity[],
   ): events.ServerInfo[] {
-    const asked = this.#demands.get(host)?.pools;
-    return capacities.filter((capacity) => asked?.has(capacity.pool))
+    const pools = this.#demands.get(host)?.pools;
+    return capacities.filter((capacity) => pools?.has(capacity.pool))
       .flatMap((capacity) => {
         const counts = this.#countRunning(capacity.pool);
         const running = (info: events.ServerInfo) => counts.get(info.name) ?? 0;
@@ -107,41 +109,42 @@
       });
   }
 
-  /** Computes every host's grants. */
+  /** Computes the grants of all hosts. */
   allocate(
     capacities: readonly PoolCapacity[],
     now: number,
   ): ReadonlyMap<string, readonly events.Grant[]> {
     [...this.#demands].filter(([, demand]) => isOutdated(demand, now))
       .forEach(([host]) => this.#demands.delete(host));
-    const hosts = this.#listHosts({ visiting: false });
-    const visitors = this.#listHosts({ visiting: true });
+    const hosts = this.#listHosts({ remote: false });
+    const remoteHosts = this.#listHosts({ remote: true });
     const grants = new Map(
-      [...hosts, ...visitors].map((host) => [host, [] as events.Grant[]]),
+      [...hosts, ...remoteHosts].map((host) => [host, [] as events.Grant[]]),
     );
     capacities.forEach((capacity) => {
       const claimants = this.#listClaimants(capacity.pool);
       const counts = this.#countRunning(capacity.pool);
-      allocatePool(capacity, { hosts, visitors, claimants }).forEach((
-        grant,
-        host,
-      ) =>
-        grants.get(host)?.push({
-          ...grant,
-          runningElsewhere: this.#listElsewhere(host, { grant, counts }),
-        })
-      );
+      allocatePool(capacity, { hosts, remoteHosts, claimants })
+        .forEach((
+          grant,
+          host,
+        ) =>
+          grants.get(host)?.push({
+            ...grant,
+            runningElsewhere: this.#listElsewhere(host, { grant, counts }),
+          })
+        );
     });
     return grants;
   }
 
-  #listHosts({ visiting }: { readonly visiting: boolean }): string[] {
+  #listHosts({ remote }: { readonly remote: boolean }): string[] {
     return [...this.#demands]
-      .filter(([, demand]) => demand.visiting === visiting)
+      .filter(([, demand]) => demand.remote === remote)
       .map(([host]) => host).toSorted();
   }
 
-  /** Sums what all hosts run on each server of a pool. */
+  /** Counts the running requests of all hosts on each server of a pool. */
   #countRunning(pool: string): ReadonlyMap<string, number> {
     const counts = new Map<string, number>();
     this.#demands.forEach((demand) =>
@@ -152,7 +155,7 @@
     return counts;
   }
 
-  /** What other hosts run on the servers that a host asked about. */
+  /** Counts the running requests of other hosts on the servers that a host listed. */
   #listElsewhere(
     host: string,
     { grant, counts }: {
@@ -160,50 +163,51 @@
       readonly counts: ReadonlyMap<string, number>;
     },
   ): events.ServerCount[] {
-    const asked = this.#demands.get(host)?.pools.get(grant.pool)?.servers ?? [];
-    return asked.map(({ server, running }) => ({
+    const listed = this.#demands.get(host)?.pools.get(grant.pool)?.servers ??
+      [];
+    return listed.map(({ server, running }) => ({
       server,
       running: (counts.get(server) ?? 0) - running,
     }));
   }
 
-  /** Sums demand over hosts, of this tier and higher ones. */
+  /** Sums the demand of all hosts for a pool in `lowestTier` and higher tiers. */
   sumDemand(pool: string, lowestTier = Infinity): number {
     return this.#listClaimants(pool).filter((one) => one.tier <= lowestTier)
-      .reduce((sum, one) => sum + one.wanted, 0);
+      .reduce((sum, one) => sum + one.demand, 0);
   }
 
   #listClaimants(pool: string): Claimant[] {
     return [...this.#demands].flatMap(([host, demand]) =>
       (demand.pools.get(pool)?.classes ?? []).map((classDemand) => ({
         host,
-        visiting: demand.visiting,
+        remote: demand.remote,
         className: classDemand.className,
         tier: classDemand.tier,
-        wanted: classDemand.running + classDemand.queued,
+        demand: classDemand.running + classDemand.queued,
         running: classDemand.running,
-        given: 0,
+        granted: 0,
       }))
     );
   }
 }
 
 /**
- * Divides one pool's slots: guaranteed shares first, then tier by tier, in each
- * the failure domain's own hosts before those of others. A class
- * that has all it wants may run a little more than that, up to its host's part
- * of the slots of lower tiers: a counter check need not wait for the next
- * message, and all hosts together cannot swamp a server.
+ * Divides the slots of one pool: guaranteed shares first, then tier by tier, and
+ * within a tier hosts of this failure domain before hosts of other ones. A class
+ * whose demand is met gets headroom beyond it: its host's part of the slots left
+ * for lower tiers. So an urgent request need not wait for the next grant, and
+ * all hosts together cannot overload a server.
  *
  * @example
- * const grants = allocatePool(capacity, { hosts: ["a"], visitors: [], claimants });
+ * const grants = allocatePool(capacity, { hosts: ["a"], remoteHosts: [], claimants });
  */
 export function allocatePool(
   capacity: PoolCapacity,
-  { hosts, visitors, claimants }: {
+  { hosts, remoteHosts, claimants }: {
     readonly hosts: readonly string[];
     /** Hosts of other failure domains. */
-    readonly visitors: readonly string[];
+    readonly remoteHosts: readonly string[];
     readonly claimants: readonly Claimant[];
   },
 ): ReadonlyMap<string, events.PoolGrant> {
@@ -211,11 +215,11 @@
   const classes = [...new Set(claimants.map((one) => one.className))];
   classes.forEach((className) => {
     const own = claimants.filter((one) =>
-      one.className === className && !one.visiting
+      one.className === className && !one.remote
     );
     const share = capacity.shares.get(className) ?? 0;
-    // Rounded down: in a small pool a whole slot is far more than the share.
-    // What is lost by that, hosts give in turns.
+    // Rounded down, because in a small pool one slot is far more than the share.
+    // Hosts make up for the remainder by share credits.
     const guaranteed = Math.floor(share * capacity.slots);
     left -= divideEvenly(own, Math.min(left, guaranteed));
   });
@@ -225,8 +229,8 @@
   ) => a - b);
   tiers.forEach((tier) => {
     const own = claimants.filter((one) => one.tier === tier);
-    left -= divideEvenly(own.filter((one) => !one.visiting), left);
-    left -= divideEvenly(own.filter((one) => one.visiting), left);
+    left -= divideEvenly(own.filter((one) => !one.remote), left);
+    left -= divideEvenly(own.filter((one) => one.remote), left);
   });
   const headroom = new Map(
     tiers.map((tier) => [
@@ -237,7 +241,7 @@
   const none: ReadonlyMap<number, number> = new Map();
   return new Map([
     ...hosts.map((host) => [host, headroom] as const),
-    ...visitors.map((host) => [host, none] as const),
+    ...remoteHosts.map((host) => [host, none] as const),
   ].map(([host, own]) => [
     host,
     buildGrant(host, { capacity, claimants, headroom: own }),
@@ -245,11 +249,11 @@
 }
 
 function isOutdated(demand: HostDemand, now: number): boolean {
-  const valid = demand.visiting ? VISITOR_VALID_MS : DEMAND_VALID_MS;
+  const valid = demand.remote ? REMOTE_DEMAND_VALID_MS : DEMAND_VALID_MS;
   return now - demand.at > valid;
 }
 
-/** Slots beyond its demand that each host may use for a tier. */
+/** Computes how many slots beyond its demand each host may use for a tier. */
 function computeHeadroom(
   tier: number,
   { capacity, claimants, hosts }: {
@@ -259,23 +263,23 @@
   },
 ): number {
   const upTo = claimants.filter((one) => one.tier <= tier);
-  if (upTo.some((one) => one.given < one.wanted)) return 0;
-  const given = upTo.reduce((sum, one) => sum + one.given, 0);
-  return Math.ceil((capacity.slots - given) / hosts);
+  if (upTo.some((one) => one.granted < one.demand)) return 0;
+  const granted = upTo.reduce((sum, one) => sum + one.granted, 0);
+  return Math.ceil((capacity.slots - granted) / hosts);
 }
 
-/** Gives up to `slots` to claimants, evenly, never more than wanted. */
+/** Grants up to `slots` evenly to claimants, none more than its demand; returns the number granted. */
 function divideEvenly(claimants: readonly Claimant[], slots: number): number {
   let left = slots;
-  let hungry = claimants.filter((one) => one.given < one.wanted);
-  while (left > 0 && hungry.length > 0) {
-    const each = Math.max(1, Math.floor(left / hungry.length));
-    hungry.forEach((one) => {
-      const more = Math.min(each, one.wanted - one.given, left);
-      one.given += more;
+  let unsatisfied = claimants.filter((one) => one.granted < one.demand);
+  while (left > 0 && unsatisfied.length > 0) {
+    const each = Math.max(1, Math.floor(left / unsatisfied.length));
+    unsatisfied.forEach((one) => {
+      const more = Math.min(each, one.demand - one.granted, left);
+      one.granted += more;
       left -= more;
     });
-    hungry = hungry.filter((one) => one.given < one.wanted);
+    unsatisfied = unsatisfied.filter((one) => one.granted < one.demand);
   }
   return slots - left;
 }
@@ -293,18 +297,18 @@
   return {
     pool: capacity.pool,
     limits: listLimits(own, { claimants, headroom }),
-    lowestTierElsewhere: findLowestBeyondShare(others, {
+    lowestTierElsewhere: findLowestTierBeyondShare(others, {
       capacity,
       all: claimants,
     }),
     queuedElsewhere: countQueued(others),
-    short: own.filter((one) => one.given < one.wanted)
+    short: own.filter((one) => one.granted < one.demand)
       .map((one) => one.className),
-    recallForTier: findHungryTier(claimants, own),
+    recallForTier: findRecallTier(claimants, own),
   };
 }
 
-/** Limits of every class that any host asks for. */
+/** Lists the slot limit of every class that any host demands. */
 function listLimits(
   own: readonly Claimant[],
   { claimants, headroom }: {
@@ -314,23 +318,24 @@
 ): events.ClassSlots[] {
   const tiers = new Map(claimants.map((one) => [one.className, one.tier]));
   return [...tiers].map(([className, tier]) => {
-    const given = own.find((one) => one.className === className)?.given ?? 0;
-    return { className, slots: given + (headroom.get(tier) ?? 0) };
+    const granted = own.find((one) => one.className === className)?.granted ??
+      0;
+    return { className, slots: granted + (headroom.get(tier) ?? 0) };
   });
 }
 
 function countQueued(all: readonly Claimant[]): events.TierCount[] {
-  const others = all.filter((one) => !one.visiting);
+  const others = all.filter((one) => !one.remote);
   const tiers = [...new Set(others.map((one) => one.tier))];
   return tiers.map((tier) => ({
     tier,
     count: others.filter((one) => one.tier === tier)
-      .reduce((sum, one) => sum + one.wanted - one.running, 0),
+      .reduce((sum, one) => sum + one.demand - one.running, 0),
   })).filter((one) => one.count > 0);
 }
 
-/** The lowest tier running on these hosts in a class beyond its guaranteed share. */
-function findLowestBeyondShare(
+/** Finds the lowest tier that these hosts run in a class beyond its guaranteed share. */
+function findLowestTierBeyondShare(
   others: readonly Claimant[],
   { capacity, all }: {
     readonly capacity: PoolCapacity;
@@ -346,17 +351,18 @@
 }
 
 /**
- * The highest tier that is granted more than it runs on some host, where this
- * host runs lower work beyond what it was given; 0 if there is none.
+ * Finds the highest tier that has unused granted slots on some host, if this
+ * host runs more requests of a lower tier than it was granted; 0 if there is
+ * none.
  */
-function findHungryTier(
+function findRecallTier(
   claimants: readonly Claimant[],
   own: readonly Claimant[],
 ): number {
-  const over = own.filter((one) => one.running > one.given);
-  if (over.length === 0) return 0;
-  const hungry = claimants.filter((one) => one.given > one.running)
+  const overGrant = own.filter((one) => one.running > one.granted);
+  if (overGrant.length === 0) return 0;
+  const waitingTier = claimants.filter((one) => one.granted > one.running)
     .reduce((highest, one) => Math.min(highest, one.tier), Infinity);
-  const lower = over.some((one) => one.tier > hungry);
-  return lower ? hungry : 0;
+  const hasLower = overGrant.some((one) => one.tier > waitingTier);
+  return hasLower ? waitingTier : 0;
 }
--- a/packages/core/fairness.ts
+++ b/packages/core/fairness.ts
@@ -1,15 +1,15 @@
 /**
- * Guaranteed shares between classes. Strict priority alone lets a class starve;
- * here every waiting class collects credit for its share of what others are
- * served by the same servers, and goes first once it can pay for its next
- * request.
+ * Guaranteed shares of classes, by credit scheduling. Strict priority alone would
+ * let a class starve. Each waiting class earns credit in proportion to its share
+ * whenever another class starts a request for the same target. A class whose
+ * credit covers the cost of an average request goes first.
  */
 import type * as config from "./config.ts";
 import type * as queue from "./queue.ts";
 
-/** Credit for how many average requests a class can collect at the most. */
+/** Largest credit of a class, in average requests. */
 const CREDIT_LIMIT = 2;
-/** Weight of a new cost in the mean. */
+/** Weight of a new sample in the moving average of the cost. */
 const COST_WEIGHT = 0.05;
 
 /** Credits of the classes that compete for one target. */
@@ -18,33 +18,33 @@
   meanCost: number;
 }
 
-/** Credits of the classes at one host, for each target by itself. */
+/** Credits of the classes at one host, kept separately for each target. */
 export class ShareCredits {
   readonly #targets = new Map<string, TargetCredits>();
 
   /**
-   * Orders lanes: those whose class has earned its turn first, then by tier,
-   * and within a tier those that can still meet their target. Otherwise a
-   * backlog from an overload that is long over would make every later request
-   * miss its target too.
+   * Orders lanes: first those whose class has enough credit, then by tier, and
+   * within a tier those that can still meet their target. If late lanes did not
+   * go last, the backlog of a past overload would make every later request miss
+   * its target too.
    */
   order(lanes: readonly queue.Lane[]): queue.Lane[] {
     return lanes.toSorted((a, b) => {
-      const turn = Number(this.hasTurn(b)) - Number(this.hasTurn(a));
-      if (turn !== 0) return turn;
-      const late = Number(a.late) - Number(b.late);
-      return a.tier - b.tier || late || compareArrival(a, b);
+      const byCredit = Number(this.hasTurn(b)) - Number(this.hasTurn(a));
+      if (byCredit !== 0) return byCredit;
+      const byLateness = Number(a.late) - Number(b.late);
+      return a.tier - b.tier || byLateness || compareArrival(a, b);
     });
   }
 
-  /** Whether the lane's class has earned its turn by its guaranteed share. */
+  /** Whether the class of a lane has enough credit to go first. */
   hasTurn(lane: queue.Lane): boolean {
     const own = this.#targets.get(lane.target);
     return own !== undefined &&
       (own.credits.get(lane.className) ?? 0) >= own.meanCost;
   }
 
-  /** Charges the lane's class and credits the classes that go on waiting. */
+  /** Charges the class of a started request and credits the classes that keep waiting. */
   recordStart(
     lane: queue.Lane,
     options: {
@@ -60,12 +60,12 @@
     own.meanCost += COST_WEIGHT * (cost - own.meanCost);
     const spent = (own.credits.get(lane.className) ?? 0) - cost;
     own.credits.set(lane.className, Math.max(0, spent));
-    const names = new Set(
+    const waitingClasses = new Set(
       options.waiting.filter((other) => other.target === lane.target)
         .map((other) => other.className),
     );
-    names.delete(lane.className);
-    names.forEach((name) => {
+    waitingClasses.delete(lane.className);
+    waitingClasses.forEach((name) => {
       const share = options.classes.get(name)?.share ?? 0;
       const credit = (own.credits.get(name) ?? 0) + share * cost;
       own.credits.set(name, Math.min(CREDIT_LIMIT * own.meanCost, credit));
--- a/packages/core/grants.ts
+++ b/packages/core/grants.ts
@@ -1,4 +1,4 @@
-/** Slots granted to this host: taken over, given back, lent by others. */
+/** Applies slot grants of the capacity leaders and preempts requests beyond them. */
 import type * as attempts from "./attempts.ts";
 import * as ending from "./ending.ts";
 import type * as events from "./events.ts";
@@ -8,7 +8,7 @@
 import * as starting from "./starting.ts";
 
 /**
- * Takes over the allocator's grants, and gives slots back.
+ * Applies grants of this failure domain and preempts requests beyond them.
  *
  * @example
  * setGrants(state, event);
@@ -26,7 +26,7 @@
     pool.grantedAt = event.asOf;
     state.table.recordElsewhere(grant.runningElsewhere, event.asOf);
   });
-  returnSlots(state);
+  preemptOverLimit(state);
   starting.dispatchQueue(state);
 }
 
@@ -41,7 +41,7 @@
 }
 
 /**
- * Takes over what another failure domain grants and lends.
+ * Applies grants of another failure domain and the servers that it lends.
  *
  * @example
  * setOverflow(state, event);
@@ -50,30 +50,30 @@
   state: hostState.HostState,
   event: Extract<events.DispatchEvent, { kind: "overflow_granted" }>,
 ): void {
-  state.table.setVisited(event.failureDomain, event.servers);
+  state.table.setLentServers(event.failureDomain, event.servers);
   const grants = new Map(event.grants.map((grant) => [grant.pool, grant]));
   state.table.listPools()
     .filter((pool) => pool.part.failureDomain === event.failureDomain)
     .forEach((pool) => {
       const grant = grants.get(pool.part.name) ??
-        { ...buildNoGrant(pool), short: [...state.classes.keys()] };
+        { ...buildEmptyGrant(pool), short: [...state.classes.keys()] };
       setGrant(pool, grant);
       pool.grantedAt = event.asOf;
       state.table.recordElsewhere(grant.runningElsewhere, event.asOf);
     });
-  returnSlots(state);
+  preemptOverLimit(state);
   starting.dispatchQueue(state);
-  refuseHopeless(state);
+  refuseUnservable(state);
 }
 
-/** Refuses what waited only for word of other failure domains, which have nothing. */
-function refuseHopeless(state: hostState.HostState): void {
-  const hopeless = state.queue.listWaiting().filter((lane) => {
+/** Refuses queued requests that no failure domain can serve. */
+function refuseUnservable(state: hostState.HostState): void {
+  const unservable = state.queue.listWaiting().filter((lane) => {
     const head = lane.peek()?.request;
     return head !== undefined && !overflow.hasNear(state, head) &&
       !overflow.mayOverflow(state, head);
   });
-  hopeless.flatMap((lane) => state.queue.removeAll(lane)).forEach((entry) =>
+  unservable.flatMap((lane) => state.queue.removeAll(lane)).forEach((entry) =>
     hostState.refuse(state, {
       refused: entry.request,
       code: "no_capacity",
@@ -83,7 +83,7 @@
   );
 }
 
-function buildNoGrant(pool: serverState.PoolState): events.Grant {
+function buildEmptyGrant(pool: serverState.PoolState): events.Grant {
   return {
     pool: pool.part.name,
     limits: [],
@@ -96,19 +96,20 @@
 }
 
 /**
- * Goes on without grants: the allocator cannot be reached.
+ * Drops all grants of this failure domain while its capacity leader is
+ * unreachable; the host then goes by the load that it sees itself.
  *
  * @example
  * dropGrants(state);
  */
 export function dropGrants(state: hostState.HostState): void {
   hostState.listOwnPools(state)
-    .forEach((pool) => setGrant(pool, buildNoGrant(pool)));
+    .forEach((pool) => setGrant(pool, buildEmptyGrant(pool)));
   starting.dispatchQueue(state);
 }
 
-/** Stops lower work beyond its limit where a higher tier waits elsewhere. */
-function returnSlots(state: hostState.HostState): void {
+/** Preempts requests beyond the limit of their class where a higher tier waits on another host. */
+function preemptOverLimit(state: hostState.HostState): void {
   state.table.listPools()
     .filter((pool) => pool.recallForTier > 0)
     .forEach((pool) =>
@@ -116,7 +117,7 @@
         .filter((attempt) => isRecalled(attempt, pool))
         .toSorted((a, b) => b.startedAt - a.startedAt)
         .forEach((attempt) => {
-          // Each one that is stopped may bring its class within its limit.
+          // Each preemption may already bring the class within its limit.
           if (exceedsLimit(pool, attempt.request.className)) {
             ending.preemptAttempt(state, attempt);
           }
--- a/packages/core/homes_fuzz_test.ts
+++ b/packages/core/homes_fuzz_test.ts
@@ -1,4 +1,4 @@
-/** Requests that may run in some failure domains only. */
+/** Tests of requests that may run only in certain failure domains. */
 import * as fc from "fast-check";
 import * as tapModule from "tap";
 import * as core from "./mod.ts";
@@ -9,7 +9,7 @@
 const DOMAINS = ["a", "b", "c"];
 const REGIONS = new Map([["a", "north"], ["b", "north"], ["c", "south"]]);
 
-tap.test("the regions of route and customer both bind", (t) => {
+tap.test("the allowed regions are those that route and customer have in common", (t) => {
   const list = (route?: string[], customer?: string[]) =>
     core.listHomes({
       route: { regions: route },
@@ -49,8 +49,9 @@
 
 type Start = Extract<core.DispatchEffect, { kind: "start" }>;
 
-// Guards against a retry, or what waited, that leaves the regions in which it may run.
-tap.test("no attempt leaves the failure domains of its request", (t) => {
+// Guards against a retried or queued request that starts outside the regions in
+// which it may run, after servers fail or the list of servers changes.
+tap.test("no attempt starts outside the allowed failure domains of its request", (t) => {
   fc.assert(
     fc.property(fc.array(STEP, { maxLength: 40 }), (steps) => {
       const dispatcher = testing.startDispatcher();
@@ -116,8 +117,9 @@
   }
 }
 
-// Guards against a caller that waits for servers that its request may not use.
-tap.test("a request without a server at home is refused as not run", (t) => {
+// Guards against a caller that waits until its deadline although no server is in
+// a failure domain in which its request may run.
+tap.test("a request without a server in its allowed failure domains is refused as not run", (t) => {
   const dispatcher = testing.startDispatcher();
   const request = {
     ...testing.buildRequest("r1", { tier: 1 }),
--- a/packages/core/overflow.ts
+++ b/packages/core/overflow.ts
@@ -1,8 +1,9 @@
 /**
- * Work for other failure domains. A host whose own failure domain has no room
- * for what waits, and no lower work that could give way, asks the capacity
- * leader of another one for slots, and runs there only what it was granted. So
- * the same division tier by tier that holds between hosts holds there too.
+ * Overflow to other failure domains. A host asks the capacity leader of another
+ * failure domain for slots if its own failure domain has no room for its queued
+ * requests and runs no lower-tier requests that could be preempted. The host
+ * runs only as many requests there as were granted, so slots are divided tier by
+ * tier as between the hosts of one failure domain.
  */
 import * as admission from "./admission.ts";
 import * as constants from "./constants.ts";
@@ -12,31 +13,31 @@
 import type * as request from "./request.ts";
 import * as serverState from "./server_state.ts";
 
-/** Demand for the pools of another failure domain. */
+/** Demand of this host for the pools of another failure domain. */
 export interface DomainDemand {
   readonly failureDomain: string;
   readonly demands: readonly events.PoolDemand[];
-  /** Whether work waits for them, not only runs there. */
+  /** Whether requests are queued for these pools, rather than only running there. */
   readonly waiting: boolean;
 }
 
 /**
- * Lists what this host runs in other failure domains and, for the one in
- * `turn`, what it would run there: one is asked at a time, so that a request is
- * not granted slots everywhere at once.
+ * Lists the running requests of this host in other failure domains. The queued
+ * requests are listed for one failure domain only, which changes with `round`,
+ * so that a request is not granted slots in several failure domains at once.
  *
  * @example
  * const asked = listOverflow(state, 7);
  */
 export function listOverflow(
   state: hostState.HostState,
-  turn: number,
+  round: number,
 ): DomainDemand[] {
-  const pools = state.table.listPools().filter((pool) => pool.foreign);
+  const pools = state.table.listPools().filter((pool) => pool.remote);
   const domains = [...new Set(pools.map((pool) => pool.part.failureDomain))];
-  const stuck = domains.length === 0 ? [] : listStuckLanes(state);
-  return domains.map((failureDomain, place) => {
-    const lanes = place === turn % domains.length ? stuck : [];
+  const blocked = domains.length === 0 ? [] : listBlockedLanes(state);
+  return domains.map((failureDomain, index) => {
+    const lanes = index === round % domains.length ? blocked : [];
     const demands = pools
       .filter((pool) => pool.part.failureDomain === failureDomain)
       .map((pool) => buildDemand(state, { pool, lanes }))
@@ -45,8 +46,8 @@
   }).filter((domain) => domain.demands.length > 0);
 }
 
-/** Lanes that wait although nothing in this failure domain can give way. */
-function listStuckLanes(state: hostState.HostState): queue.Lane[] {
+/** Lists lanes that cannot start in time, with nothing to preempt in this failure domain. */
+function listBlockedLanes(state: hostState.HostState): queue.Lane[] {
   return state.queue.listWaiting().filter((lane) => {
     const head = lane.peek()?.request;
     if (head === undefined) return false;
@@ -83,9 +84,9 @@
 
 /**
  * Whether a request that this failure domain cannot serve in time may wait for
- * slots of another one: some were granted and are free, or it may have more, or
- * it was not asked of late. A host that knows that there are none says so at
- * once.
+ * slots of another one. It may if granted slots are free, if the last grant
+ * covered the demand of its class, or if there is no recent grant. Otherwise the
+ * host refuses the request immediately.
  *
  * @example
  * if (mayOverflow(state, request)) queue();
@@ -96,15 +97,15 @@
 ): boolean {
   const { now } = state;
   return state.table.listPools().some((pool) => {
-    if (!pool.foreign || !hostState.isServedBy(wanted, pool)) return false;
-    const known = now - pool.grantedAt < constants.OVERFLOW_KNOWN_MS;
-    return !known || !pool.short.includes(wanted.className) ||
+    if (!pool.remote || !hostState.isServedBy(wanted, pool)) return false;
+    const isGrantKnown = now - pool.grantedAt < constants.OVERFLOW_KNOWN_MS;
+    return !isGrantKnown || !pool.short.includes(wanted.className) ||
       serverState.isWithinGrant(pool, { className: wanted.className, now });
   });
 }
 
 /**
- * Whether this failure domain has any server for a request, busy or not.
+ * Whether this failure domain has any backend server for a request, busy or not.
  *
  * @example
  * hasNear(state, request);
--- a/packages/core/overflow_test.ts
+++ b/packages/core/overflow_test.ts
@@ -1,4 +1,4 @@
-/** Work for other failure domains runs only where it was granted. */
+/** Tests that overflow runs in other failure domains only within its grants. */
 import * as fc from "fast-check";
 import * as tap from "tap";
 import * as core from "./mod.ts";
@@ -17,8 +17,8 @@
   state: "live",
 };
 
-/** A host whose failure domain has lost all its servers. */
-function startBare(): core.Dispatcher {
+/** Starts a dispatcher whose failure domain has lost all its servers. */
+function startWithoutServers(): core.Dispatcher {
   const dispatcher = testing.startDispatcher({ pools: [OWN, FAR] });
   dispatcher.handle({ kind: "servers_changed", servers: [] }, 0);
   return dispatcher;
@@ -67,11 +67,12 @@
 }
 
 tap.t.test(
-  "a failure domain that lost its servers is served by another",
+  "requests of a failure domain without servers run in another one",
   (t) => {
-    // Parents at Rosenheim get "no capacity" for every lookup, though Weilheim
-    // has idle workers: hosts knew only the servers of their failure domain.
-    const dispatcher = startBare();
+    // Guards against "no_capacity" for every request although another failure
+    // domain has idle servers. Hosts knew only the servers of their own failure
+    // domain.
+    const dispatcher = startWithoutServers();
     t.same(
       arrive(dispatcher, "r1", 0).filter(({ kind }) => kind === "refuse"),
       [],
@@ -86,42 +87,51 @@
   },
 );
 
-tap.t.test("without slots elsewhere a request is refused at once", (t) => {
-  // A caller waits until its deadline for slots that no failure domain has.
-  const dispatcher = startBare();
-  grant(dispatcher, { slots: 0, now: 0 });
-  t.match(arrive(dispatcher, "r1", 1), [{
-    kind: "refuse",
-    refusal: { code: "no_capacity", ran: "no" },
-  }]);
-  t.end();
-});
+tap.t.test(
+  "a request is refused at once if no failure domain has slots",
+  (t) => {
+    // Guards against a caller that waits until its deadline for slots that no
+    // failure domain has.
+    const dispatcher = startWithoutServers();
+    grant(dispatcher, { slots: 0, now: 0 });
+    t.match(arrive(dispatcher, "r1", 1), [{
+      kind: "refuse",
+      refusal: { code: "no_capacity", ran: "no" },
+    }]);
+    t.end();
+  },
+);
 
-tap.t.test("a grant that is used up is no reason to refuse", (t) => {
-  // Lookups are refused at Rosenheim while Weilheim has idle slots: the host
-  // took the two slots that it had asked for to be all there were.
-  const dispatcher = startBare();
-  grant(dispatcher, { slots: 1, now: 0 });
-  arrive(dispatcher, "r1", 1);
-  const effects = arrive(dispatcher, "r2", 1);
-  t.notOk(effects.some((effect) => effect.kind === "refuse"));
-  const [asked] = dispatcher.listOverflow(0);
-  t.match(asked, { demands: [{ classes: [{ running: 1, queued: 1 }] }] });
-  t.end();
-});
+tap.t.test(
+  "a request is queued, not refused, when the grant is used up",
+  (t) => {
+    // Guards against requests that are refused while another failure domain has
+    // idle slots. The host treated the slots granted for its demand so far as all
+    // slots of the other failure domain.
+    const dispatcher = startWithoutServers();
+    grant(dispatcher, { slots: 1, now: 0 });
+    arrive(dispatcher, "r1", 1);
+    const effects = arrive(dispatcher, "r2", 1);
+    t.notOk(effects.some((effect) => effect.kind === "refuse"));
+    const [asked] = dispatcher.listOverflow(0);
+    t.match(asked, { demands: [{ classes: [{ running: 1, queued: 1 }] }] });
+    t.end();
+  },
+);
 
-tap.t.test("an old grant of another failure domain is not used", (t) => {
-  // A cut separates two failure domains. The lender gives its slots to its own
-  // counter checks; the borrower, who hears nothing, went on filling them.
-  const dispatcher = startBare();
+tap.t.test("an expired grant of another failure domain is not used", (t) => {
+  // Guards against overload of the lending failure domain during a network
+  // partition. It grants the slots to its own urgent requests, while the
+  // borrowing host, which receives no new grant, kept using them.
+  const dispatcher = startWithoutServers();
   grant(dispatcher, { slots: 1, now: 0 });
   const late = core.constants.GRANT_VALID_MS + 1;
   t.same(listStarted(arrive(dispatcher, "r1", late)), []);
   t.end();
 });
 
-tap.t.test("more than was granted does not start", (t) => {
-  const dispatcher = startBare();
+tap.t.test("requests beyond the grant do not start", (t) => {
+  const dispatcher = startWithoutServers();
   grant(dispatcher, { slots: 1, now: 0 });
   const started = ["r1", "r2"].flatMap((id) =>
     listStarted(arrive(dispatcher, id, 1))
@@ -131,8 +141,10 @@
 });
 
 tap.t.test("a suspect request is not sent to other failure domains", (t) => {
-  // One poison request took two engines in each of four failure domains.
-  const dispatcher = startBare();
+  // Guards against a poison request that crashes engines in all failure domains.
+  // Its retries went from one failure domain to the next, and crashed two
+  // engines in each of four.
+  const dispatcher = startWithoutServers();
   dispatcher.handle({
     kind: "suspected",
     marks: [{ fingerprint: "poison", server: "o1" }],
@@ -143,30 +155,30 @@
   t.end();
 });
 
-/** One class of one host, as drawn. */
-interface Drawn {
+/** Generated demand of one class at one host. */
+interface Claim {
   readonly host: string;
-  readonly visiting: boolean;
+  readonly remote: boolean;
   readonly className: string;
   readonly tier: number;
-  readonly wanted: number;
+  readonly demand: number;
   readonly running: number;
 }
 
-const DRAWN = fc.record({
+const CLAIM = fc.record({
   host: fc.constantFrom("h1", "h2", "v1", "v2"),
   tier: fc.integer({ min: 1, max: 3 }),
-  wanted: fc.nat({ max: 12 }),
+  demand: fc.nat({ max: 12 }),
   running: fc.nat({ max: 12 }),
-}).map((one): Drawn => ({
+}).map((one): Claim => ({
   ...one,
-  visiting: one.host.startsWith("v"),
+  remote: one.host.startsWith("v"),
   className: `tier${one.tier}`,
-  wanted: Math.max(one.wanted, one.running),
+  demand: Math.max(one.demand, one.running),
 }));
 
-/** Slots that each class of each host got, from its limits without headroom. */
-function allocate(claims: readonly Drawn[], slots: number): Map<Drawn, number> {
+/** Computes the slots that each class of each host is granted, without headroom. */
+function allocate(claims: readonly Claim[], slots: number): Map<Claim, number> {
   const allocator = new core.CapacityAllocator();
   ["h1", "h2", "v1", "v2"].forEach((host) =>
     allocator.setDemand(host, {
@@ -176,7 +188,7 @@
         pool: "p",
         servers: [],
         classes: claims.filter((one) => one.host === host)
-          .map((one) => ({ ...one, queued: one.wanted - one.running })),
+          .map((one) => ({ ...one, queued: one.demand - one.running })),
       }],
     })
   );
@@ -189,27 +201,30 @@
   }));
 }
 
-tap.t.test("visitors get only what no one before them wants", (t) => {
-  const property = fc.property(
-    fc.uniqueArray(DRAWN, { selector: (one) => `${one.host}${one.tier}` }),
-    fc.nat({ max: 20 }),
-    (claims, slots) => {
-      const given = allocate(claims, slots);
-      const goesBefore = (a: Drawn, b: Drawn) =>
-        a.tier < b.tier || (a.tier === b.tier && !a.visiting && b.visiting);
-      const sum = claims.filter((one) => one.visiting)
-        .reduce((total, one) => total + (given.get(one) ?? 0), 0);
-      const fair = claims.every((visitor) =>
-        !visitor.visiting || (given.get(visitor) ?? 0) === 0 ||
-        claims.every((other) =>
-          !goesBefore(other, visitor) ||
-          (given.get(other) ?? 0) >= other.wanted
-        )
-      );
-      return sum <= slots && fair;
-    },
-  );
-  fc.assert(property, { seed: 20_261_203, numRuns: 2_000 });
-  t.pass("2000 divisions");
-  t.end();
-});
+tap.t.test(
+  "hosts of other failure domains get only slots that no claimant ahead of them demands",
+  (t) => {
+    const property = fc.property(
+      fc.uniqueArray(CLAIM, { selector: (one) => `${one.host}${one.tier}` }),
+      fc.nat({ max: 20 }),
+      (claims, slots) => {
+        const granted = allocate(claims, slots);
+        const hasPrecedence = (a: Claim, b: Claim) =>
+          a.tier < b.tier || (a.tier === b.tier && !a.remote && b.remote);
+        const sum = claims.filter((one) => one.remote)
+          .reduce((total, one) => total + (granted.get(one) ?? 0), 0);
+        const fair = claims.every((claim) =>
+          !claim.remote || (granted.get(claim) ?? 0) === 0 ||
+          claims.every((other) =>
+            !hasPrecedence(other, claim) ||
+            (granted.get(other) ?? 0) >= other.demand
+          )
+        );
+        return sum <= slots && fair;
+      },
+    );
+    fc.assert(property, { seed: 20_261_203, numRuns: 2_000 });
+    t.pass("2000 allocations");
+    t.end();
+  },
+);
--- a/packages/core/partition_test.ts
+++ b/packages/core/partition_test.ts
@@ -1,9 +1,9 @@
-/** Every slot belongs to exactly one host, whatever the sizes. */
+/** Tests that every slot belongs to exactly one host for any sizes. */
 import * as fc from "fast-check";
 import * as tap from "tap";
 import * as core from "./mod.ts";
 
-tap.t.test("hosts divide servers without overlap or rest", (t) => {
+tap.t.test("the slots of all servers are partitioned among the hosts", (t) => {
   const names = fc.uniqueArray(fc.string({ minLength: 1, maxLength: 4 }), {
     minLength: 1,
     maxLength: 20,
@@ -15,7 +15,7 @@
     (hosts, servers, slots) => {
       const pool = servers.map((name) => ({ name, slots }));
       const homes = hosts.map((host) =>
-        core.computeHomeSlots(pool.toReversed(), { hosts, host })
+        core.computePreferredSlots(pool.toReversed(), { hosts, host })
       );
       const sizes = homes.map((home) =>
         [...home.values()].reduce((sum, count) => sum + count, 0)
@@ -26,13 +26,13 @@
     },
   );
   fc.assert(property, { seed: 20_261_203, numRuns: 500 });
-  t.pass("500 divisions");
+  t.pass("500 partitions");
   t.end();
 });
 
-tap.t.test("a host that is not listed has no part", (t) => {
+tap.t.test("an unlisted host has no preferred slots", (t) => {
   const servers = [{ name: "s1", slots: 8 }];
-  const home = core.computeHomeSlots(servers, { hosts: ["a"], host: "b" });
+  const home = core.computePreferredSlots(servers, { hosts: ["a"], host: "b" });
   t.equal(home.size, 0);
   t.end();
 });
--- a/packages/core/refusals.ts
+++ b/packages/core/refusals.ts
@@ -1,39 +1,48 @@
-/** Messages of refusals, one for each code. */
+/** Builds refusals, with a default message for each code. */
 import * as admission from "./admission.ts";
 import type * as request from "./request.ts";
 
-/** What a caller reads. */
+/** Default messages to the caller. */
 const MESSAGES: Readonly<Record<request.RefusalCode, string>> = {
-  bad_request: "The request is malformed.",
-  not_authenticated: "The key is missing or unknown.",
-  not_allowed: "The key does not grant this.",
-  not_found: "There is no such path, model or service.",
-  too_large: "The request is too large.",
-  overloaded: "The request could not start in time for its class.",
-  deadline_exceeded: "The request waited as long as its class allows.",
-  no_capacity: "No backend server offers this model or service now.",
-  draining: "This host is shutting down.",
-  key_withdrawn: "The key was withdrawn.",
-  conflict: "An operation with this idempotency key exists already.",
-  poison_request: "Backend servers were lost while they ran this request.",
-  store_unavailable: "The operation cannot be claimed now.",
-  backend_failed: "The backend server failed.",
-  cancelled: "The caller left.",
+  bad_request: "The request is malformed; correct it before sending it again.",
+  not_authenticated: "The API key is missing or unknown; send a valid key.",
+  not_allowed: "The API key does not permit this request.",
+  not_found:
+    "No such path, model or service exists; check the path and the model.",
+  too_large: "The request exceeds the size limit; send a smaller one.",
+  overloaded:
+    "The request could not start within the target of its class; retry later.",
+  deadline_exceeded:
+    "The request waited for the longest time that its class allows; check whether it ran before retrying.",
+  no_capacity:
+    "No backend server for this model or service is available; retry later.",
+  draining: "This host is shutting down; send the request to another host.",
+  key_withdrawn: "The API key was withdrawn; use another key.",
+  conflict:
+    "An operation with this idempotency key already exists; use a new key only for a different operation.",
+  poison_request:
+    "Backend servers were lost while running this request; do not send it again unchanged.",
+  store_unavailable:
+    "The operation cannot be claimed because the store is unavailable; retry with the same idempotency key.",
+  backend_failed:
+    "The backend server failed; check whether the request ran before retrying.",
+  cancelled: "The caller disconnected or cancelled the request.",
 };
 
-/** What a refusal is made of. */
+/** Code and details of a refusal. */
 export interface RefusalReason {
   readonly code: request.RefusalCode;
+  /** Whether the request may have run. */
   readonly ran: request.Ran;
-  /** Expected time until coming back makes sense, in ms. */
+  /** Expected time until a retry can succeed, in ms. */
   readonly waitMs?: number;
-  /** @default constants.RETRY_AFTER_MIN_MS */
+  /** Minimum delay that the caller is told, in ms. @default constants.RETRY_AFTER_MIN_MS */
   readonly leastRetryMs?: number;
-  /** @default "dispatch" */
+  /** Step of the processing that refused the request. @default "dispatch" */
   readonly step?: string;
-  /** @default "this host" */
+  /** The peer involved: a backend server, a host or the store. @default "this host" */
   readonly peer?: string;
-  /** In place of the code's message. */
+  /** Message to the caller. @default the message of the code */
   readonly message?: string;
 }
 
@@ -61,22 +70,22 @@
   };
 }
 
-/** Refusals of a request's form: the same bytes are always refused. */
-const OF_FORM: ReadonlySet<request.RefusalCode> = new Set([
+/** Codes that depend only on the content of a request, so that no attempt can have run it. */
+const MALFORMED_CODES: ReadonlySet<request.RefusalCode> = new Set([
   "bad_request",
   "too_large",
 ]);
 
 /**
- * Takes back a "not run" that nobody looked up. A call with an idempotency key
- * that is refused before its claim or ticket was read has not run by this
- * sending, but an earlier one of the same key may have: a caller that believed
- * "not run" would book again under a new key.
+ * Replaces an unverified `ran: "no"` by "unknown". If a call with an idempotency
+ * key is refused before its claim or ticket was read, this attempt has not run,
+ * but an earlier attempt with the same key may have. A caller that relied on "no"
+ * would repeat the operation under a new key.
  *
  * @example
  * const refusal = clearUnproven(buildKeyRefusal("not_authenticated"));
  */
 export function clearUnproven(refusal: request.Refusal): request.Refusal {
-  if (refusal.ran !== "no" || OF_FORM.has(refusal.code)) return refusal;
+  if (refusal.ran !== "no" || MALFORMED_CODES.has(refusal.code)) return refusal;
   return { ...refusal, ran: "unknown" };
 }
--- a/packages/core/retry.ts
+++ b/packages/core/retry.ts
@@ -1,25 +1,25 @@
-/** Retries: a budget, and what may be tried again. */
+/** Retry policy: the retry budget and the rules for which failed attempts are retried. */
 import * as constants from "./constants.ts";
 import type * as events from "./events.ts";
 import type * as request from "./request.ts";
 
-/** Where requests and their retries meet a limit. */
+/** Limits the number of retries in relation to first attempts. */
 export interface RetryBudget {
-  /** Records a first attempt towards a model or service. */
+  /** Records the first attempt of a request to a model or service. */
   readonly recordFirst: (target: string, now: number) => void;
-  /** Takes one retry from the budget, if there is one. */
+  /** Takes one retry from the budget; returns false if the budget is exhausted. */
   readonly take: (target: string, now: number) => boolean;
 }
 
 /**
- * A token bucket filled by first attempts. When everything fails, retries add
- * at most {@link constants.RETRY_SHARE} to the load instead of multiplying it,
- * so an overload does not feed itself.
+ * A token bucket that is refilled by first attempts. When all attempts fail,
+ * retries add at most {@link constants.RETRY_SHARE} to the load instead of
+ * multiplying it, so an overload does not amplify itself.
  */
 export class TokenRetryBudget implements RetryBudget {
   #tokens = constants.RETRY_BURST;
 
-  /** Records a first attempt. */
+  /** Records the first attempt of a request. */
   recordFirst(): void {
     this.#tokens = Math.min(
       constants.RETRY_BURST,
@@ -27,7 +27,7 @@
     );
   }
 
-  /** Takes one retry from the budget, if there is one. */
+  /** Takes one retry from the budget; returns false if the budget is exhausted. */
   take(): boolean {
     if (this.#tokens < 1) return false;
     this.#tokens -= 1;
@@ -35,26 +35,29 @@
   }
 }
 
-/** What follows from a failed attempt. */
+/** Whether a failed attempt is retried. */
 export type RetryDecision =
   | { readonly kind: "retry" }
   | { readonly kind: "give_up"; readonly ran: request.Ran };
 
-/** What is known of a failed attempt. */
+/** A failed attempt and the state of its request. */
 export interface FailedAttempt {
   readonly failure: events.AttemptFailure;
-  /** Attempts so far of which a byte may have left this host. */
+  /** Number of attempts so far of which a byte may have left this host. */
   readonly sent: number;
-  /** @default constants.MAX_ATTEMPTS */
+  /** Largest number of attempts of the request. @default constants.MAX_ATTEMPTS */
   readonly maxAttempts?: number;
+  /** Whether the request may run more than once. */
   readonly repeatable: boolean;
+  /** Whether a part of the response was already sent to the caller. */
   readonly answerStarted: boolean;
+  /** Whether another backend server can continue the response at its offset. */
   readonly resumable: boolean;
 }
 
 /**
- * Says whether anything may have run in a failed attempt. Only "no byte left
- * this host" and a backend server's own word count as "no".
+ * Determines whether a failed attempt may have run the request. The result is
+ * "no" only if no byte left this host or the backend server refused the attempt.
  *
  * @example
  * resolveRan("connection_lost"); // "unknown"
@@ -73,13 +76,15 @@
 }
 
 /**
- * Decides what follows from a failed attempt. A request that may not be
- * repeated is tried again only when nothing ran; an answer that has begun is
- * tried again only if it can be resumed at its offset. An attempt that was not
- * sent cost no backend server anything: it takes nothing from the budget, and
- * its server is ejected at once, so the request goes elsewhere or waits. Were
- * it counted, the second until a lost server leaves the list would use up every
- * attempt of all that waits.
+ * Decides whether a failed attempt is retried. A request that is not repeatable
+ * is retried only if nothing ran. A response that has begun is retried only if
+ * it can be resumed at its offset.
+ *
+ * An attempt that was not sent puts no load on a backend server, so it is retried
+ * without taking from the budget. Its server is ejected at once, and the request
+ * goes to another server or waits. If such attempts counted, all queued requests
+ * would use up their attempts in the second until a lost server is removed from
+ * the list of servers.
  *
  * @example
  * decideRetry(failed, () => budget.take());
@@ -90,17 +95,17 @@
 ): RetryDecision {
   const ran = resolveRan(failed.failure);
   const safe = ran === "no" || failed.repeatable;
-  const whole = !failed.answerStarted || failed.resumable;
-  if (failed.failure === "not_sent" && whole) return { kind: "retry" };
-  const left = failed.sent <
+  const canResume = !failed.answerStarted || failed.resumable;
+  if (failed.failure === "not_sent" && canResume) return { kind: "retry" };
+  const underLimit = failed.sent <
     (failed.maxAttempts ?? constants.MAX_ATTEMPTS);
-  if (safe && whole && left && takeBudget()) return { kind: "retry" };
+  if (safe && canResume && underLimit && takeBudget()) return { kind: "retry" };
   return { kind: "give_up", ran };
 }
 
 /**
- * Combines what is known of two attempts: a request has not run only if
- * neither of them did.
+ * Combines whether two attempts ran a request. The result is "no" only if both
+ * are "no".
  *
  * @example
  * mergeRan("no", "unknown"); // "unknown"
--- a/packages/core/retry_window.ts
+++ b/packages/core/retry_window.ts
@@ -1,61 +1,65 @@
 /**
- * A retry budget that all hosts keep together without a message for each
- * retry. The bound holds over any span of a window: retries at one service are
- * at most a ratio of the requests for it plus a fixed slack. The ratio is kept
- * by each host for its own requests, and the slack is divided by the number of
- * hosts, so the sum keeps the whole bound.
+ * A retry budget over a sliding window that holds for all hosts together without
+ * a message for each retry. In any window, the retries to one service are at most
+ * a ratio of its requests plus a fixed slack. Each host applies the ratio to its
+ * own requests and uses an equal part of the slack, so the sum over all hosts
+ * stays within the bound.
  */
 import type * as retry from "./retry.ts";
 
-/** The bound over all hosts. */
+/** Bound on the retries of all hosts together. */
 export interface RetryBound {
-  /** Retries for each request. */
+  /** Retries per request. */
   readonly ratio: number;
-  /** Retries beyond these, over all hosts. */
+  /** Additional retries in a window, over all hosts. */
   readonly slack: number;
+  /** Length of the sliding window, in ms. */
   readonly windowMs: number;
 }
 
 /**
- * Part of the bound that is used. The rest covers requests at the edge of a
- * window and hosts that are not yet known of.
+ * Fraction of the bound that hosts use. The rest covers requests at the edges of
+ * the window and hosts that are not yet known.
  */
 const USED_SHARE = 0.7;
-/** Spans into which a window is divided for counting. */
-const SPANS = 10;
+/** Number of buckets in which a window is counted. */
+const BUCKETS_PER_WINDOW = 10;
 
-interface Span {
+/** Counts of one time bucket of a window. */
+interface Bucket {
   readonly index: number;
   first: number;
   retries: number;
 }
 
-/** Counts of one service by span. */
+/** Sliding-window counts of one service. */
 class ServiceCounts {
-  #spans: Span[] = [];
+  #buckets: Bucket[] = [];
 
-  /** Returns the counts of the current span, and forgets old ones. */
-  open(index: number): Span {
-    this.#spans = this.#spans.filter((span) => span.index > index - SPANS);
-    const last = this.#spans.at(-1);
+  /** Returns the current bucket and drops expired ones. */
+  open(index: number): Bucket {
+    this.#buckets = this.#buckets.filter((bucket) =>
+      bucket.index > index - BUCKETS_PER_WINDOW
+    );
+    const last = this.#buckets.at(-1);
     if (last?.index === index) return last;
-    const span = { index, first: 0, retries: 0 };
-    this.#spans.push(span);
-    return span;
+    const bucket = { index, first: 0, retries: 0 };
+    this.#buckets.push(bucket);
+    return bucket;
   }
 
   sum(): { readonly first: number; readonly retries: number } {
-    return this.#spans.reduce(
-      (sum, span) => ({
-        first: sum.first + span.first,
-        retries: sum.retries + span.retries,
+    return this.#buckets.reduce(
+      (sum, bucket) => ({
+        first: sum.first + bucket.first,
+        retries: sum.retries + bucket.retries,
       }),
       { first: 0, retries: 0 },
     );
   }
 }
 
-/** This host's part of the budget. */
+/** This host's part of the retry budget. */
 export class WindowRetryBudget implements retry.RetryBudget {
   readonly #bound: RetryBound;
   readonly #counts = new Map<string, ServiceCounts>();
@@ -66,31 +70,31 @@
     this.#hosts = options.hosts;
   }
 
-  /** Takes over how many hosts share the slack. */
+  /** Sets the number of hosts that share the slack. */
   setHosts(hosts: number): void {
     this.#hosts = Math.max(1, hosts);
   }
 
   recordFirst(target: string, now: number): void {
-    this.#open(target, now).first += 1;
+    this.#openBucket(target, now).first += 1;
   }
 
   take(target: string, now: number): boolean {
-    const span = this.#open(target, now);
-    const { first, retries } = this.#get(target).sum();
+    const bucket = this.#openBucket(target, now);
+    const { first, retries } = this.#getCounts(target).sum();
     const { ratio, slack } = this.#bound;
     const limit = USED_SHARE * (ratio * first + slack / this.#hosts);
     if (retries + 1 > limit) return false;
-    span.retries += 1;
+    bucket.retries += 1;
     return true;
   }
 
-  #open(target: string, now: number): Span {
-    const index = Math.floor(now / (this.#bound.windowMs / SPANS));
-    return this.#get(target).open(index);
+  #openBucket(target: string, now: number): Bucket {
+    const index = Math.floor(now / (this.#bound.windowMs / BUCKETS_PER_WINDOW));
+    return this.#getCounts(target).open(index);
   }
 
-  #get(target: string): ServiceCounts {
+  #getCounts(target: string): ServiceCounts {
     const known = this.#counts.get(target);
     if (known !== undefined) return known;
     const counts = new ServiceCounts();
--- a/packages/core/retry_window_test.ts
+++ b/packages/core/retry_window_test.ts
@@ -1,4 +1,4 @@
-/** The retry budget over all hosts, counted by an oracle over every span. */
+/** Tests the retry budget of all hosts against an oracle that checks every window. */
 import * as fc from "fast-check";
 import * as tapModule from "tap";
 import * as core from "./mod.ts";
@@ -11,7 +11,7 @@
   readonly retry: boolean;
 }
 
-/** The most by which retries exceed the bound in any window. */
+/** Finds the largest number of retries beyond the bound in any window. */
 function findExcess(sent: readonly Sent[]): number {
   return Math.max(
     0,
@@ -26,10 +26,10 @@
   );
 }
 
-// Every server fails. Each host alone keeps a budget, and together they must
-// not send more retries in any window than the platform allows, whatever the
-// callers' rhythm and however unevenly they are spread over the hosts.
-tap.test("hosts together keep the bound over every window", (t) => {
+// Guards against a retry storm when every backend server fails. Each host keeps
+// its own budget; together they must stay within the bound in every window, for
+// any arrival times and any distribution of requests over the hosts.
+tap.test("retries of all hosts stay within the bound in every window", (t) => {
   fc.assert(
     fc.property(
       fc.integer({ min: 1, max: 12 }),
@@ -62,11 +62,11 @@
     ),
     { seed: 4242, numRuns: 200 },
   );
-  t.pass("no window over the bound");
+  t.pass("no window exceeds the bound");
   t.end();
 });
 
-tap.test("services have budgets of their own, and windows end", (t) => {
+tap.test("each service has its own budget, which is restored after the window", (t) => {
   const budget = new core.WindowRetryBudget(BOUND, { hosts: 8 });
   const takeAll = (target: string, now: number) =>
     Array.from({ length: 50 }).filter(() => budget.take(target, now)).length;
--- a/packages/core/router.ts
+++ b/packages/core/router.ts
@@ -1,8 +1,9 @@
 /**
- * The choice of a backend server: the failure domain's own servers first,
- * prefix affinity while the server is not overloaded, else the better of two
- * drawn at random, so that hosts with the same lagging reports do not all
- * choose the same one.
+ * Selects a backend server for a request. Servers of the host's own failure
+ * domain come first. Prefix affinity applies while the server is not
+ * overloaded; otherwise the less loaded of two random servers is selected, so
+ * that hosts with the same outdated load reports do not all select the same
+ * server.
  */
 import * as lru from "lru-cache";
 import type * as utils from "@banyangrade/utils";
@@ -11,11 +12,11 @@
 import * as engineChoice from "./engine_choice.ts";
 import * as engineDivision from "./engine_division.ts";
 import type * as request from "./request.ts";
-import * as serverFit from "./server_fit.ts";
+import * as serverEligibility from "./server_eligibility.ts";
 import * as serverState from "./server_state.ts";
 import * as servers from "./servers.ts";
 
-/** Draws tried before every server is looked at. */
+/** Number of random pairs that are compared before all servers are scanned. */
 const RANDOM_PAIRS = 2;
 
 /** Options of {@link Router}. */
@@ -28,38 +29,38 @@
   readonly affinity?: boolean;
   readonly prompts: engineChoice.PromptLengths;
   readonly coldTurns: coldTurns.ColdTurns;
-  /** Whether engines are chosen by their unread prompts, for hosts without grants. @default false */
+  /** Whether engines are compared by prompt tokens that await prefill; used by hosts without slot grants. @default false */
   readonly comparesPrompts?: boolean;
-  /** Whether this host has a connection to a server that nothing uses. @default none */
+  /** Whether this host has an idle connection to a server. @default none */
   readonly isConnected?: (server: string) => boolean;
 }
 
-/** What the choice depends on besides the request. */
-export interface RouteOptions extends serverFit.TurnOptions {
+/** Options of {@link Router.choose}. */
+export interface RouteOptions extends serverEligibility.GuaranteeOptions {
   readonly now: number;
-  /** The request was in flight as a server was lost. */
+  /** Whether the request was in flight when a backend server was lost. */
   readonly suspect: boolean;
-  /** Server of the attempt before, which is avoided if another one has room. */
+  /** Server of the previous attempt, which is used only if no other server has room. */
   readonly avoid?: string;
-  /** Whether other failure domains' servers may be used. */
+  /** Whether servers of other failure domains may be used. */
   readonly overflow: boolean;
 }
 
-/** Moment and bounds of one look at the servers. */
-interface Choice {
+/** Request, time and filter of one scan over the servers. */
+interface SelectionContext {
   readonly wanted: request.Request;
   readonly now: number;
   readonly isUsable: (server: serverState.ServerState) => boolean;
 }
 
-/** Where a request goes. */
+/** The selected backend server. */
 export interface RouteChoice {
   readonly server: serverState.ServerState;
-  /** An engine that may hold the beginning of its prompt. */
+  /** An engine whose KV cache may hold a prefix of the request's prompt. */
   readonly source?: serverState.ServerState;
 }
 
-/** Chooses backend servers for one host. */
+/** Selects backend servers for the requests of one host. */
 export class Router {
   readonly #table: servers.ServerTable;
   readonly #random: utils.Random;
@@ -85,33 +86,34 @@
     this.#isConnected = options.isConnected ?? (() => false);
   }
 
-  /** Takes over how a target's engines are divided. */
+  /** Sets how a target's engines are divided between short and long prompts. */
   setDivision(target: string, division: engineDivision.EngineDivision): void {
     this.#divisions.set(target, division);
   }
 
-  /** Chooses a server with room, or none. */
+  /** Selects a server with room; undefined if there is none. */
   choose(
     wanted: request.Request,
     options: RouteOptions,
   ): RouteChoice | undefined {
     const pools = this.#findUsablePools(wanted, options);
-    // Under load most classes have used up their grants; then no server need
-    // be looked at.
+    // Under load most classes have used up their grants. Returning here avoids
+    // a scan over all servers.
     if (pools.size === 0) return undefined;
-    const turns = this.#findColdTurns(pools, options.now);
-    const isOpen = (server: serverState.ServerState) =>
+    const poolsWithColdTurn = this.#findColdTurns(pools, options.now);
+    const isEligible = (server: serverState.ServerState) =>
       pools.has(server.info.pool) && serverState.mayRunAt(server, wanted) &&
-      serverFit.isFit(server, options) &&
-      (!serverState.isCold(server, options.now) || turns.has(server.info.pool));
+      serverEligibility.isEligible(server, options) &&
+      (!serverState.isCold(server, options.now) ||
+        poolsWithColdTurn.has(server.info.pool));
     const isUsable = (server: serverState.ServerState) =>
-      server.info.name !== options.avoid && isOpen(server);
+      server.info.name !== options.avoid && isEligible(server);
     if (this.#comparesPrompts && wanted.kind === "generate") {
       const choice = this.#chooseByPrompts(wanted, { options, isUsable });
       if (choice !== undefined) return choice;
     }
     const server = this.#chooseUsable(wanted, { options, isUsable }) ??
-      this.#chooseAvoided(isOpen, options);
+      this.#chooseAvoided(isEligible, options);
     if (server === undefined) return undefined;
     if (wanted.prefix !== "") {
       this.#prefixes.set(this.#getPrefixKey(wanted), server.info.name);
@@ -123,39 +125,40 @@
     wanted: request.Request,
     { options, isUsable }: {
       readonly options: RouteOptions;
-      readonly isUsable: Choice["isUsable"];
+      readonly isUsable: SelectionContext["isUsable"];
     },
   ): serverState.ServerState | undefined {
     const { now } = options;
     if (this.#comparesPrompts && wanted.kind === "generate") return undefined;
     const all = this.#table.listFor(wanted.target);
-    const home = this.#table.listHomeFor(wanted.target);
-    // A server whose tokens come too slowly for the class misses its target for
-    // certain; what is left of the patience is better spent waiting.
-    const probing = this.#random.below(constants.PROBE_ONE_IN) === 0;
-    const longest = constants.SPEED_MARGIN * wanted.targetBetweenMs;
+    const preferred = this.#table.listPreferredFor(wanted.target);
+    // A server whose time between tokens exceeds the target of the class would
+    // certainly miss it, so the request stays queued for a faster server.
+    const probesSlowServers = this.#random.below(constants.PROBE_ONE_IN) === 0;
+    const maxTokenMs = constants.SPEED_MARGIN * wanted.targetBetweenMs;
     const isFast = (server: serverState.ServerState) =>
-      (probing || server.tokenMs <= longest) && isUsable(server);
-    const isNear = (server: serverState.ServerState) =>
+      (probesSlowServers || server.tokenMs <= maxTokenMs) && isUsable(server);
+    const isLocal = (server: serverState.ServerState) =>
       server.pool.failureDomain === this.#failureDomain && isFast(server);
-    const isHome = (server: serverState.ServerState) =>
-      server.running < server.homeSlots && isFast(server);
-    const near =
-      this.#chooseByPrefix(wanted, { wanted, now, isUsable: isNear }) ??
-        this.#chooseByLoad(home, { wanted, now, isUsable: isHome }) ??
-        this.#chooseByLoad(all, { wanted, now, isUsable: isNear });
-    if (near !== undefined || !options.overflow) return near;
-    // Another failure domain's fast server goes before a slow one that is near.
+    const isPreferred = (server: serverState.ServerState) =>
+      server.running < server.preferredSlots && isFast(server);
+    const local =
+      this.#chooseByPrefix(wanted, { wanted, now, isUsable: isLocal }) ??
+        this.#chooseByLoad(preferred, { wanted, now, isUsable: isPreferred }) ??
+        this.#chooseByLoad(all, { wanted, now, isUsable: isLocal });
+    if (local !== undefined || !options.overflow) return local;
+    // A fast server of another failure domain is preferred over a slow server
+    // of this one.
     return this.#chooseByLoad(all, { wanted, now, isUsable: isFast }) ??
       this.#chooseByLoad(all, { wanted, now, isUsable });
   }
 
-  /** Chooses an engine by unread prompts; see {@link engineChoice}. */
+  /** Selects an engine by prompt tokens that await prefill; see {@link engineChoice}. */
   #chooseByPrompts(
     wanted: request.Request,
     { options, isUsable }: {
       readonly options: RouteOptions;
-      readonly isUsable: Choice["isUsable"];
+      readonly isUsable: SelectionContext["isUsable"];
     },
   ): RouteChoice | undefined {
     const { now } = options;
@@ -188,8 +191,9 @@
     const server = choice && this.#table.get(choice.name);
     if (server === undefined) return undefined;
     const source = this.#table.get(choice?.source ?? "");
-    const answers = source !== undefined && now >= source.ejectedUntil;
-    return answers ? { server, source } : { server };
+    const isSourceAvailable = source !== undefined &&
+      now >= source.ejectedUntil;
+    return isSourceAvailable ? { server, source } : { server };
   }
 
   #listLive(target: string): serverState.ServerState[] {
@@ -197,7 +201,7 @@
       .filter(({ info }) => info.state === "live");
   }
 
-  /** Names of the engines for short prompts, where engines are divided. */
+  /** Lists the engines reserved for short prompts; undefined if engines are not divided. */
   #listShortNames(
     target: string,
     live: readonly serverState.ServerState[],
@@ -213,7 +217,7 @@
     );
   }
 
-  /** Finds the pools that the request may use and whose grants have room. */
+  /** Finds the pools that may serve the request and whose grant is not used up. */
   #findUsablePools(
     wanted: request.Request,
     options: RouteOptions,
@@ -223,10 +227,10 @@
     const usable = this.#table.listPoolsFor(wanted.target).filter((pool) => {
       const allowed = wanted.pools.length === 0 ||
         wanted.pools.includes(pool.part.name);
-      const near = !pool.foreign || options.overflow;
+      const isReachable = !pool.remote || options.overflow;
       const granted = serverState.isWithinGrant(pool, { className, now }) ||
-        serverFit.isWithinTurn(pool, { wanted, options });
-      return allowed && near && granted;
+        serverEligibility.isWithinGuarantee(pool, { wanted, options });
+      return allowed && isReachable && granted;
     });
     return new Set(usable.map((pool) => pool.part.name));
   }
@@ -236,29 +240,30 @@
   }
 
   /**
-   * Returns the server that last saw the prefix, unless it is loaded well
-   * above the mean of its pool: a warm cache does not pay for a long wait.
+   * Returns the server that last received the prompt prefix. A server loaded
+   * well above the mean of its pool is skipped, because the wait would cost more
+   * than its warm cache saves.
    */
   #chooseByPrefix(
     wanted: request.Request,
-    { now, isUsable }: Choice,
+    { now, isUsable }: SelectionContext,
   ): serverState.ServerState | undefined {
     if (!this.#affinity || wanted.prefix === "") return undefined;
     const name = this.#prefixes.get(this.#getPrefixKey(wanted));
     const server = name === undefined ? undefined : this.#table.get(name);
     if (server === undefined || !isUsable(server)) return undefined;
     const pool = this.#table.getPool(server.info.pool);
-    const usual = (pool?.running ?? 0) / Math.max(1, pool?.totalSlots ?? 1);
-    const bound = constants.AFFINITY_LOAD_BOUND * usual *
+    const meanLoad = (pool?.running ?? 0) / Math.max(1, pool?.totalSlots ?? 1);
+    const maxLoad = constants.AFFINITY_LOAD_BOUND * meanLoad *
       serverState.getSlots(server);
-    return serverState.estimateLoad(server, now) <= Math.max(1, bound)
+    return serverState.estimateLoad(server, now) <= Math.max(1, maxLoad)
       ? server
       : undefined;
   }
 
   #chooseByLoad(
     candidates: readonly serverState.ServerState[],
-    choice: Choice,
+    choice: SelectionContext,
   ): serverState.ServerState | undefined {
     const { isUsable } = choice;
     if (candidates.length === 0) return undefined;
@@ -275,7 +280,7 @@
 
   #findLeastLoaded(
     usable: readonly serverState.ServerState[],
-    choice: Choice,
+    choice: SelectionContext,
   ): serverState.ServerState | undefined {
     return usable.reduce<serverState.ServerState | undefined>(
       (best, server) =>
@@ -286,22 +291,27 @@
     );
   }
 
-  /** Relative load, weighed by how slow its tokens are against its pool's. */
-  #score(server: serverState.ServerState, { wanted, now }: Choice): number {
+  /** Scores a server by relative load times its time between tokens relative to its pool's. */
+  #score(
+    server: serverState.ServerState,
+    { wanted, now }: SelectionContext,
+  ): number {
     const prompting = server.prompting / constants.PROMPT_TOKENS_PER_LOAD;
-    // A long prompt holds up every stream beside it.
-    const disturbed = constants.DISTURBANCE *
-      serverFit.countHigher(server, wanted.tier) * wanted.promptTokens /
+    // The prefill of a long prompt delays the tokens of all streams that the
+    // server is running.
+    const interference = constants.DISTURBANCE *
+      serverEligibility.countHigherTiers(server, wanted.tier) *
+      wanted.promptTokens /
       constants.PROMPT_TOKENS_PER_LOAD;
     const load =
-      (serverState.estimateLoad(server, now) + prompting + disturbed + 1) /
+      (serverState.estimateLoad(server, now) + prompting + interference + 1) /
       serverState.getSlots(server);
-    const typical = this.#table.getPool(server.info.pool)?.tokenMs ?? 0;
-    const known = server.tokenMs > 0 && typical > 0;
-    return load * (known ? server.tokenMs / typical : 1);
+    const poolTokenMs = this.#table.getPool(server.info.pool)?.tokenMs ?? 0;
+    const hasSpeedSamples = server.tokenMs > 0 && poolTokenMs > 0;
+    return load * (hasSpeedSamples ? server.tokenMs / poolTokenMs : 1);
   }
 
-  /** Falls back to the server that failed before, where no other one is usable. */
+  /** Returns the server of the previous attempt if it is still eligible; used if no other server is. */
   #chooseAvoided(
     isOpen: (server: serverState.ServerState) => boolean,
     options: RouteOptions,
@@ -311,15 +321,15 @@
     return isOpen(server) ? server : undefined;
   }
 
-  /** Finds the pools at whose cold servers it is this host's turn. */
+  /** Finds the pools to whose cold servers this host may send a request now. */
   #findColdTurns(
     pools: ReadonlySet<string>,
     now: number,
   ): ReadonlySet<string> {
-    const sparing = this.#table.listPools().filter(({ part }) =>
+    const rateLimited = this.#table.listPools().filter(({ part }) =>
       part.coldStart !== undefined && pools.has(part.name)
     );
-    const open = sparing.filter(({ part: { name, coldStart, targets } }) =>
+    const open = rateLimited.filter(({ part: { name, coldStart, targets } }) =>
       this.#coldTurns.has({
         name,
         servers: this.#countCold(name, { target: targets[0], now }),
@@ -330,8 +340,9 @@
   }
 
   /**
-   * Counts the cold servers among which a turn is drawn: where engines are
-   * divided, those of the part that has fewer.
+   * Counts the cold servers that share the request rate of a pool. If engines
+   * are divided by prompt length and both parts have cold servers, the smaller
+   * part counts, so that its servers do not exceed their rate.
    */
   #countCold(
     pool: string,
--- a/packages/core/routes.ts
+++ b/packages/core/routes.ts
@@ -1,113 +1,115 @@
 /**
- * Routes: which service answers a request by its host name and path, and what
- * may be done for it. Callers that address models by name need none of this;
- * a deployment whose operators configure routes does.
+ * Routes map the host name and path of a request to a service and define its
+ * latency targets, retries and access rules. Only deployments whose operators
+ * configure routes use them; callers that address models by name do not.
  */
 import type * as utils from "@banyangrade/utils";
 import * as config from "./config.ts";
 
-/** What may be done again with a request of a route. */
+/** Whether and how a request of a route may be retried. */
 export type RouteKind =
-  /** It may run more than once. */
+  /** The request may run more than once. */
   | "idempotent"
-  /** It may run at most once. */
+  /** The request may run at most once. */
   | "at_most_once"
-  /** It is answered by a stream of events. */
+  /** The response is a stream of events. */
   | "stream";
 
-/** A service that a route leads to, with its part of the route's requests. */
+/** A service of a route and the weight of its share of the route's requests. */
 export interface WeightedService {
   readonly service: string;
   readonly weight: number;
 }
 
-/** One route. */
+/** A route: its match on host name and path, its targets and its services. */
 export interface Route {
   readonly name: string;
-  /** Host name, lower case. */
+  /** Host name in lower case. */
   readonly host: string;
-  /** Path prefix; begins and ends with a slash. */
+  /** Path prefix that begins and ends with a slash. */
   readonly prefix: string;
   readonly kind: RouteKind;
-  /** Longest time that a request may be kept waiting, in ms. */
+  /** Timeout of a request, in ms. */
   readonly timeoutMs: number;
-  /** Target for the first event or the answer, in ms. */
+  /** Target time until the first event or the response, in ms. */
   readonly targetMs: number;
-  /** Target for the pause between two events, in ms; 0 where there are none. */
+  /** Target time between two events of a stream, in ms; 0 for other routes. */
   readonly betweenMs: number;
   /** Priority tier; 1 is the highest. */
   readonly tier: number;
   readonly services: readonly WeightedService[];
-  /** Most servers that one request is sent to. */
+  /** Largest number of attempts for one request. */
   readonly maxAttempts: number;
-  /** Whether it is open to callers without a key. */
+  /** Whether callers without an API key may use the route. */
   readonly anonymous: boolean;
-  /** Whether a broken stream may go on at another server. */
+  /** Whether an interrupted stream may resume on another backend server. */
   readonly resumable: boolean;
-  /** Regions in which its requests may run. @default any */
+  /** Regions in which requests of the route may run. @default any */
   readonly regions?: readonly string[];
 }
 
-/** What the operators say of a service's engines. */
+/** Configured limits of each engine of a service. */
 export interface EngineLimits {
-  /** Requests that one engine runs at a time. */
+  /** Number of requests that one engine runs concurrently. */
   readonly slots: number;
-  /** Tokens that its memory holds. */
+  /** Capacity of its KV cache in tokens. */
   readonly memoryTokens: number;
 }
 
-/** Bounds and prices by which backend servers of a service are ordered. */
+/** Bounds and prices that govern the scaling of a service. */
 export interface ScalingBounds {
-  /** Fewest and most servers in one failure domain. */
+  /** Minimum number of backend servers in one failure domain. */
   readonly minServers: number;
+  /** Maximum number of backend servers in one failure domain. */
   readonly maxServers: number;
-  /** Time from an order to the first request that is served, in ms. */
+  /** Time from ordering a server until it serves its first request, in ms. */
   readonly bootMs: number;
-  /** Price of a reclaimable server against an ordinary one; 0 where none can be had. */
+  /** Price of a spot server relative to an on-demand one; 0 if spot servers are unavailable. */
   readonly spotPrice: number;
-  /** Price of a server by failure domain. */
+  /** Price of a server in each failure domain. */
   readonly domainPrices: ReadonlyMap<string, number>;
 }
 
-/** What the operators say of a service's servers that have just started. */
+/** Configured cold-start behavior of a service's backend servers. */
 export interface ServiceColdStart {
-  /** Time for which they are cold, in ms. */
+  /** Time after its start for which a server is cold, in ms. */
   readonly startMs: number;
-  /** Requests a second that a cold one bears. */
+  /** Requests per second that a cold server withstands. */
   readonly perSecond: number;
 }
 
-/** Bound on what a cold server may get in any second, against what it bears. */
+/** Bound on the request rate to a cold server, relative to the rate it withstands. */
 export interface ColdBound {
+  /** Multiple of the rate that the server withstands. */
   readonly factor: number;
-  /** In requests. */
+  /** Additional requests in any second. */
   readonly slack: number;
 }
 
-/** A service that routes lead to. */
+/** A service that routes refer to. */
 export interface RoutedService {
   readonly name: string;
-  /** Connections that one of its servers accepts from all hosts. */
+  /** Connections that one of its backend servers accepts from all hosts together. */
   readonly connectionLimit: number;
-  /** Only for model engines. */
+  /** Set only for services of model engines. */
   readonly engine?: EngineLimits;
-  /** Only where servers are cold after a start. */
+  /** Set only if the backend servers are cold after a start. */
   readonly coldStart?: ServiceColdStart;
-  /** Only where servers may be ordered. */
+  /** Set only if the service may be scaled. */
   readonly scaling?: ScalingBounds;
 }
 
-/** A customer and its keys. */
+/** A customer and its API keys. */
 export interface RoutedCustomer {
   readonly name: string;
   readonly keys: readonly string[];
-  /** Compared among requests of routes with the same tier. */
+  /** Priority tier among requests of routes with the same tier. */
   readonly tier?: number;
-  /** Regions in which its requests may run. @default any */
+  /** Regions in which requests of the customer may run. @default any */
   readonly regions?: readonly string[];
 }
 
-/** Bounds on what a caller may send. Sizes in bytes, times in ms. */
+/** Limits on requests of callers. Sizes are in bytes, times in ms. */
 export interface RoutingLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
@@ -115,32 +117,33 @@
   readonly idleTimeoutMs: number;
 }
 
-/** A configuration by routes, in force as a whole. */
+/** A route-based configuration, which is applied as a whole. */
 export interface RoutingConfiguration {
-  /** Number that the operators gave it; grows in uneven steps. */
+  /** Version assigned by the operators; it increases, but may skip numbers. */
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: readonly RoutedService[];
-  /** Undefined where callers need no key. */
+  /** Undefined if callers need no API key. */
   readonly customers: readonly RoutedCustomer[] | undefined;
   readonly limits: RoutingLimits;
 }
 
-/** Who sent a request, as its key tells. */
+/** Identity and permissions of the customer that a request's API key belongs to. */
 export interface RoutedGrant {
   readonly customer: string;
   readonly tier?: number;
   readonly regions?: readonly string[];
 }
 
-/** A configuration with the look-ups that each request needs. */
+/** A routing configuration with indexes for the lookups of each request. */
 export interface RouteTable {
   readonly configuration: RoutingConfiguration;
-  /** Routes of each host name, the longest prefix first. */
+  /** Routes by host name, the longest prefix first. */
   readonly byHost: ReadonlyMap<string, readonly Route[]>;
+  /** Customers by API key. */
   readonly byKey: ReadonlyMap<string, RoutedGrant>;
-  /** All pairs of a customer's and a route's tier, the most urgent first. */
-  readonly ranks: readonly TierPair[];
+  /** All pairs of a customer tier and a route tier, the highest priority first. */
+  readonly tierPairs: readonly TierPair[];
 }
 
 interface TierPair {
@@ -149,7 +152,7 @@
 }
 
 /**
- * Builds the look-ups of a configuration.
+ * Builds the indexes of a routing configuration.
  *
  * @example
  * const table = buildRouteTable(configuration);
@@ -170,16 +173,16 @@
       keys.map((key) => [key, { customer: name, tier, regions }] as const)
     ),
   );
-  return { configuration, byHost, byKey, ranks: rankTiers(configuration) };
+  return { configuration, byHost, byKey, tierPairs: rankTiers(configuration) };
 }
 
-/** Tiers that engines tell apart. */
-const MAX_TIERS = 10;
+/** Number of priority levels that engines distinguish. */
+const MAX_ENGINE_TIERS = 10;
 
 function rankTiers(configuration: RoutingConfiguration): TierPair[] {
   const customers = new Set([
-    ...(configuration.customers ?? []).map(({ tier }) => tier ?? LAST_TIER),
-    LAST_TIER,
+    ...(configuration.customers ?? []).map(({ tier }) => tier ?? LOWEST_TIER),
+    LOWEST_TIER,
   ]);
   const tiers = new Set(configuration.routes.map((route) => route.tier));
   return [...customers].flatMap((customer) =>
@@ -187,14 +190,15 @@
   ).toSorted((a, b) => a.route - b.route || a.customer - b.customer);
 }
 
-/** Tier of callers whose customer has none, and of those without a key. */
-const LAST_TIER = 1_000;
+/** Tier of customers without a configured tier and of callers without an API key. */
+const LOWEST_TIER = 1_000;
 
 /**
- * Returns the tier of a request, 1 being the highest: by the route's tier
- * first, and among equal ones by the customer's. Engines preempt the least
- * urgent requests; by the customer's tier first, a large customer's bulk work
- * would preempt every urgent request of the others.
+ * Returns the priority of a request for its engine, 1 being the highest.
+ * Requests are ordered by the route's tier, then by the customer's tier.
+ * Engines preempt the requests of the lowest priority: if the customer's tier
+ * came first, bulk work of a high-tier customer would preempt the urgent
+ * requests of all other customers.
  *
  * @example
  * rankRequest(table, { customerTier: 2, routeTier: 1 }); // 2
@@ -206,17 +210,17 @@
     readonly routeTier: number;
   },
 ): number {
-  const customer = customerTier ?? LAST_TIER;
-  const rank = table.ranks.findIndex((pair) =>
+  const customer = customerTier ?? LOWEST_TIER;
+  const rank = table.tierPairs.findIndex((pair) =>
     pair.customer === customer && pair.route === routeTier
   );
-  const count = table.ranks.length;
-  const scale = Math.min(1, MAX_TIERS / count);
+  const count = table.tierPairs.length;
+  const scale = Math.min(1, MAX_ENGINE_TIERS / count);
   return 1 + Math.floor(Math.max(0, rank) * scale);
 }
 
 /**
- * Finds the route with the longest prefix that begins the path.
+ * Finds the route of a host name with the longest prefix of the path.
  *
  * @example
  * findRoute(table, { host: "a.example", path: "/rooms/7?day=2" })?.name;
@@ -225,14 +229,17 @@
   table: RouteTable,
   { host, path }: { readonly host: string; readonly path: string },
 ): Route | undefined {
-  const [bare] = path.split("?", 1);
-  const name = host.toLowerCase().replace(/:\d+$/, "");
-  return table.byHost.get(name)?.find((route) => bare.startsWith(route.prefix));
+  const [pathname] = path.split("?", 1);
+  const hostname = host.toLowerCase().replace(/:\d+$/, "");
+  return table.byHost.get(hostname)?.find((route) =>
+    pathname.startsWith(route.prefix)
+  );
 }
 
 /**
- * Lists the failure domains in which a request may run: those in the regions of
- * its route and of its customer, where these name any; undefined for all.
+ * Lists the failure domains in which a request may run: those whose region both
+ * its route and its customer allow. Returns undefined if neither restricts the
+ * regions.
  *
  * @example
  * listHomes({ route, grant, regions }); // ["rosenheim", "weilheim"]
@@ -245,16 +252,16 @@
     readonly regions: ReadonlyMap<string, string>;
   },
 ): readonly string[] | undefined {
-  const bounds = [route.regions, grant?.regions]
+  const regionLists = [route.regions, grant?.regions]
     .filter((names) => names !== undefined);
-  if (bounds.length === 0) return undefined;
+  if (regionLists.length === 0) return undefined;
   return [...regions].filter(([, region]) =>
-    bounds.every((names) => names.includes(region))
+    regionLists.every((names) => names.includes(region))
   ).map(([failureDomain]) => failureDomain);
 }
 
 /**
- * Draws one of a route's services by their weights; undefined if all are 0.
+ * Picks a service of a route at random by weight; undefined if all weights are 0.
  *
  * @example
  * const service = drawService(route, random);
@@ -264,16 +271,16 @@
   random: utils.Random,
 ): string | undefined {
   const total = route.services.reduce((sum, one) => sum + one.weight, 0);
-  let left = random.next() * total;
+  let remaining = random.next() * total;
   return route.services.filter((one) => one.weight > 0).find((one) => {
-    left -= one.weight;
-    return left < 0;
+    remaining -= one.weight;
+    return remaining < 0;
   })?.service;
 }
 
 /**
- * Whether a request of a route may run more than once: a stream may only where
- * it may be resumed.
+ * Whether a request of a route may run more than once. A stream may only if it
+ * is resumable.
  *
  * @example
  * isRepeatable(route);
@@ -289,23 +296,24 @@
   }
 }
 
-/** Where a host stands, and the bounds that hold there. */
-export interface DispatchSite {
+/** Options of {@link toDispatchConfiguration}. */
+export interface DispatchConfigurationOptions {
+  /** Failure domain of this host. */
   readonly failureDomain: string;
-  /** Undefined where cold servers need not be spared. */
+  /** Undefined if the request rate to cold servers is not limited. */
   readonly coldBound?: ColdBound;
 }
 
 /**
- * Builds what the dispatcher works by: a class for each route and a pool for
- * each service, which reaches over all failure domains.
+ * Builds the dispatcher's configuration: a class for each route and, for each
+ * service, one pool that spans all failure domains.
  *
  * @example
  * dispatch.send({ kind: "configured", configuration: toDispatchConfiguration(routing, { failureDomain: "rosenheim" }) });
  */
 export function toDispatchConfiguration(
   routing: RoutingConfiguration,
-  { failureDomain, coldBound }: DispatchSite,
+  { failureDomain, coldBound }: DispatchConfigurationOptions,
 ): config.Configuration {
   const classes = routing.routes.map((route): config.ClassPart => ({
     kind: "class",
@@ -314,7 +322,7 @@
     firstTokenMs: route.targetMs,
     betweenTokensMs: route.betweenMs,
     queueMs: route.targetMs,
-    share: ROUTE_SHARE,
+    share: GUARANTEED_ROUTE_SHARE,
   }));
   const pools = routing.services.map((service): config.PoolPart => ({
     kind: "pool",
@@ -344,7 +352,7 @@
   };
 }
 
-/** Part of a service's slots that each route gets, so that none starves. */
-const ROUTE_SHARE = 0.02;
-/** Slots of a server that does not say how many it has. */
+/** Fraction of a service's slots guaranteed to each route to prevent starvation. */
+const GUARANTEED_ROUTE_SHARE = 0.02;
+/** Slots of a backend server without a configured number of slots. */
 const DEFAULT_SLOTS = 8;
--- a/packages/core/routes_test.ts
+++ b/packages/core/routes_test.ts
@@ -1,4 +1,4 @@
-/** Routes, services by weight and the tiers of requests. */
+/** Tests of route matching, weighted services and request priorities. */
 import * as tapModule from "tap";
 import * as utils from "@banyangrade/utils";
 import * as core from "./mod.ts";
@@ -41,7 +41,7 @@
   });
 }
 
-tap.test("the longest prefix of the host name wins", (t) => {
+tap.test("a path matches the longest prefix among the routes of its host name", (t) => {
   const table = buildTable([
     buildRoute({ name: "short", prefix: "/rooms/" }),
     buildRoute({ name: "long", prefix: "/rooms/free/" }),
@@ -56,7 +56,7 @@
   t.end();
 });
 
-tap.test("services are drawn by their weights", (t) => {
+tap.test("services are picked at random by weight", (t) => {
   const route = buildRoute({
     services: [
       { service: "none", weight: 0 },
@@ -76,10 +76,10 @@
   t.end();
 });
 
-// Customers have tiers too. Ranked by these first, an urgent query of one
-// customer told its engine a lower priority than another one's bulk summary,
-// and where memory ran short the engines preempted the queries for summaries.
-tap.test("the route's tier goes before the customer's", (t) => {
+// Guards against engines that preempt urgent queries of one customer for bulk
+// summaries of another when their memory runs short. This happens if the
+// customer's tier is compared before the route's tier.
+tap.test("the route's tier takes precedence over the customer's tier", (t) => {
   const table = buildTable(
     [
       buildRoute({ name: "query", tier: 1 }),
--- a/packages/core/routing_test.ts
+++ b/packages/core/routing_test.ts
@@ -1,4 +1,4 @@
-/** Failures of the choice of a server, seen on the bench, one test each. */
+/** Regression tests of server selection; each guards against a failure seen in the benchmark. */
 import * as tap from "tap";
 import type * as core from "./mod.ts";
 import * as testing from "./testing.ts";
@@ -20,7 +20,7 @@
   };
 }
 
-/** Servers that a dispatcher starts these requests on at once. */
+/** Lists the servers on which a dispatcher starts these requests immediately. */
 function startAll(
   dispatcher: core.Dispatcher,
   requests: readonly core.Request[],
@@ -30,27 +30,31 @@
   ).flatMap((effect) => effect.kind === "start" ? [effect.server.name] : []);
 }
 
-/** Seeds of the drawn pairs; a rule must hold for each. */
+/** Seeds of the random pairs of servers; each property must hold for all seeds. */
 const SEEDS = [...Array(20).keys()];
 
-tap.t.test("two hosts do not fill the same engine between reports", (t) => {
-  // An explanation of a clash waits 2 s for its first token although another
-  // engine is idle. Two hosts had filled the same engine in the second between
-  // two reports of its load; what was too much waited inside it.
-  const all = SEEDS.map((seed) =>
-    ["h0", "h1"].flatMap((host) => {
-      const options = { host, seed, pools: [ENGINES] };
-      const dispatcher = testing.startDispatcher(options);
-      dispatcher.handle({ kind: "hosts_changed", hosts: ["h0", "h1"] }, 0);
-      return startAll(dispatcher, [1, 2].map((n) => buildGenerate(`r${n}`)));
-    }).toSorted().join(" ")
-  );
-  t.same([...new Set(all)], ["e1 e1 e2 e2"]);
-  t.end();
-});
+tap.t.test(
+  "two hosts do not overfill the same engine between two load reports",
+  (t) => {
+    // Guards against a first token that takes 2 s although another engine is idle.
+    // Two hosts filled the same engine in the second between two load reports, and
+    // the requests beyond its slots were queued inside the engine.
+    const all = SEEDS.map((seed) =>
+      ["h0", "h1"].flatMap((host) => {
+        const options = { host, seed, pools: [ENGINES] };
+        const dispatcher = testing.startDispatcher(options);
+        dispatcher.handle({ kind: "hosts_changed", hosts: ["h0", "h1"] }, 0);
+        return startAll(dispatcher, [1, 2].map((n) => buildGenerate(`r${n}`)));
+      }).toSorted().join(" ")
+    );
+    t.same([...new Set(all)], ["e1 e1 e2 e2"]);
+    t.end();
+  },
+);
 
-tap.t.test("what other hosts run is not given a second time", (t) => {
-  // The same wait, when a host spills over to engines that others prefer.
+tap.t.test("slots that other hosts use are not used a second time", (t) => {
+  // Guards against the same delay when a host uses engines that other hosts
+  // prefer without counting the requests of those hosts.
   const dispatcher = testing.startDispatcher({ pools: [ENGINES] });
   dispatcher.handle({
     kind: "granted",
@@ -73,7 +77,7 @@
   t.end();
 });
 
-/** Reports tokens of a stream at even times. */
+/** Reports tokens of a stream at regular intervals. */
 function sendTokens(
   dispatcher: core.Dispatcher,
   requestId: string,
@@ -89,83 +93,105 @@
   );
 }
 
-tap.t.test("a slow engine is known before its first answer is whole", (t) => {
-  // Tokens of clash explanations come at a third of the speed for minutes. The
-  // host learned an engine's speed from whole answers only, and went on
-  // sending to the slow one until the first of them had ended.
-  const chosen = SEEDS.map((seed) => {
-    const options = { seed, pools: [ENGINES] };
-    const dispatcher = testing.startDispatcher(options);
-    const [slow] = startAll(
-      dispatcher,
-      ["a", "b"].map((n) => buildGenerate(n)),
-    );
-    sendTokens(dispatcher, "a", { count: 20, tokenMs: 90 });
-    sendTokens(dispatcher, "b", { count: 20, tokenMs: 30 });
-    return startAll(dispatcher, [buildGenerate("next")])[0] === slow;
-  });
-  // One choice in fifty probes whether the engine is still slow.
-  t.ok(chosen.filter((isSlow) => isSlow).length <= 1);
-  t.end();
-});
+tap.t.test(
+  "a slow engine is detected before its first response is complete",
+  (t) => {
+    // Guards against streams at a third of the normal token rate for minutes. The
+    // host measured the token rate only over complete responses, and kept sending
+    // requests to the slow engine until the first response was complete.
+    const chosen = SEEDS.map((seed) => {
+      const options = { seed, pools: [ENGINES] };
+      const dispatcher = testing.startDispatcher(options);
+      const [slow] = startAll(
+        dispatcher,
+        ["a", "b"].map((n) => buildGenerate(n)),
+      );
+      sendTokens(dispatcher, "a", { count: 20, tokenMs: 90 });
+      sendTokens(dispatcher, "b", { count: 20, tokenMs: 30 });
+      return startAll(dispatcher, [buildGenerate("next")])[0] === slow;
+    });
+    // One selection in fifty probes whether the engine is still slow.
+    t.ok(chosen.filter((isSlow) => isSlow).length <= 1);
+    t.end();
+  },
+);
 
-tap.t.test("a long prompt keeps away from streams of a higher tier", (t) => {
-  // A label's tokens stop for half a second: a dossier's prompt was taken in
-  // by the same engine, although another one ran only dossiers.
-  const beside = SEEDS.map((seed) => {
-    const dispatcher = testing.startDispatcher({ seed, pools: [ENGINES] });
-    const running = [buildGenerate("label"), buildGenerate("old", 2)];
-    const [label] = startAll(dispatcher, running);
-    running.forEach(({ id }) =>
-      sendTokens(dispatcher, id, { count: 1, tokenMs: 0 })
-    );
-    const dossier = { ...buildGenerate("dossier", 2), promptTokens: 6_000 };
-    return startAll(dispatcher, [dossier])[0] === label;
-  });
-  // Both drawn pairs may be the label's engine twice, one time in sixteen.
-  t.ok(beside.filter((isBeside) => isBeside).length <= 4);
-  t.end();
-});
+tap.t.test(
+  "a long prompt avoids engines with streams of a higher tier",
+  (t) => {
+    // Guards against a stream of a high tier whose tokens pause for half a second.
+    // Its engine processed the prompt of a long request of a lower tier, although
+    // another engine was running only requests of that tier.
+    const beside = SEEDS.map((seed) => {
+      const dispatcher = testing.startDispatcher({ seed, pools: [ENGINES] });
+      const running = [buildGenerate("label"), buildGenerate("old", 2)];
+      const [label] = startAll(dispatcher, running);
+      running.forEach(({ id }) =>
+        sendTokens(dispatcher, id, { count: 1, tokenMs: 0 })
+      );
+      const longPrompt = {
+        ...buildGenerate("dossier", 2),
+        promptTokens: 6_000,
+      };
+      return startAll(dispatcher, [longPrompt])[0] === label;
+    });
+    // With a probability of 1/16 both random pairs contain only the engine of
+    // the high tier.
+    t.ok(beside.filter((isBeside) => isBeside).length <= 4);
+    t.end();
+  },
+);
 
-tap.t.test("others' load takes none of this host's connections", (t) => {
-  // Sixty hosts share an engine's connections, so each may give it six requests
-  // at a time. Six that the others ran there were taken for this host's own: it
-  // sent nothing to engines with ten free slots, and refused its callers.
-  const dispatcher = testing.startDispatcher({ seed: 1, pools: [ENGINES] });
-  const engine = {
-    name: "e1",
-    pool: "engines",
-    url: "http://e1",
-    state: "live",
-    slots: 16,
-    ownLimit: 6,
-  } as const;
-  dispatcher.handle({ kind: "servers_changed", servers: [engine] }, 0);
-  dispatcher.handle({
-    kind: "load_shared",
-    hosts: 2,
-    prompting: {},
-    running: { e1: 6 },
-    asOf: 0,
-  }, 0);
-  const requests = Array.from({ length: 12 }, (_, n) => buildGenerate(`r${n}`));
-  t.equal(startAll(dispatcher, requests).length, 6, "its own limit");
-  dispatcher.handle({
-    kind: "load_shared",
-    hosts: 2,
-    prompting: {},
-    running: { e1: 13 },
-    asOf: 0,
-  }, 0);
-  const full = testing.startDispatcher({ seed: 1, pools: [ENGINES] });
-  full.handle({ kind: "servers_changed", servers: [engine] }, 0);
-  full.handle({
-    kind: "load_shared",
-    hosts: 2,
-    prompting: {},
-    running: { e1: 13 },
-    asOf: 0,
-  }, 0);
-  t.equal(startAll(full, requests).length, 3, "the engine's slots");
-  t.end();
-});
+tap.t.test(
+  "load of other hosts does not count against this host's connection limit",
+  (t) => {
+    // Guards against a host that refuses requests although engines have ten free
+    // slots. Sixty hosts share an engine's connections, so each host may run six
+    // requests on it. Six requests of other hosts were counted against this
+    // host's own limit.
+    const dispatcher = testing.startDispatcher({ seed: 1, pools: [ENGINES] });
+    const engine = {
+      name: "e1",
+      pool: "engines",
+      url: "http://e1",
+      state: "live",
+      slots: 16,
+      ownLimit: 6,
+    } as const;
+    dispatcher.handle({ kind: "servers_changed", servers: [engine] }, 0);
+    dispatcher.handle({
+      kind: "load_shared",
+      hosts: 2,
+      prompting: {},
+      running: { e1: 6 },
+      asOf: 0,
+    }, 0);
+    const requests = Array.from(
+      { length: 12 },
+      (_, n) => buildGenerate(`r${n}`),
+    );
+    t.equal(
+      startAll(dispatcher, requests).length,
+      6,
+      "the host's own connection limit",
+    );
+    dispatcher.handle({
+      kind: "load_shared",
+      hosts: 2,
+      prompting: {},
+      running: { e1: 13 },
+      asOf: 0,
+    }, 0);
+    const full = testing.startDispatcher({ seed: 1, pools: [ENGINES] });
+    full.handle({ kind: "servers_changed", servers: [engine] }, 0);
+    full.handle({
+      kind: "load_shared",
+      hosts: 2,
+      prompting: {},
+      running: { e1: 13 },
+      asOf: 0,
+    }, 0);
+    t.equal(startAll(full, requests).length, 3, "the engine's slots");
+    t.end();
+  },
+);
--- /dev/null
+++ b/packages/core/server_eligibility.ts
@@ -0,0 +1,59 @@
+/** Conditions under which a server, or the guaranteed share of a class, has room for a request. */
+import type * as request from "./request.ts";
+import * as serverState from "./server_state.ts";
+
+/** Use of the guaranteed share of a class. */
+export interface GuaranteeOptions {
+  /** Whether the class has enough share credit to start a request beyond its slot limit. */
+  readonly turn: boolean;
+  /** Returns the slots of a pool that are guaranteed to the class. */
+  readonly guaranteedSlots: (pool: serverState.PoolState) => number;
+}
+
+/**
+ * Whether a server may be sent a request now. Two suspect requests never run on
+ * the same server: if the server is lost, only one request gets a second mark,
+ * so other requests are not quarantined together with a poison request.
+ *
+ * @example
+ * servers.filter((server) => isFit(server, { now, suspect: false }));
+ */
+export function isEligible(
+  server: serverState.ServerState,
+  options: { readonly now: number; readonly suspect: boolean },
+): boolean {
+  const alone = !options.suspect || server.suspects === 0;
+  return alone && serverState.hasRoom(server, options.now);
+}
+
+/**
+ * Counts the requests of this host in tiers above `tier` that a server is running.
+ *
+ * @example
+ * countHigher(server, 2);
+ */
+export function countHigherTiers(
+  server: serverState.ServerState,
+  tier: number,
+): number {
+  return server.runningByTier.reduce(
+    (sum, count, other) => other < tier ? sum + count : sum,
+    0,
+  );
+}
+
+/**
+ * Whether a class with enough share credit runs fewer requests than its
+ * guaranteed slots.
+ *
+ * @example
+ * isWithinTurn(pool, { wanted, options });
+ */
+export function isWithinGuarantee(
+  pool: serverState.PoolState,
+  { wanted, options }: { wanted: request.Request; options: GuaranteeOptions },
+): boolean {
+  const running = pool.runningByClass.get(wanted.className) ?? 0;
+  return options.turn && !pool.remote &&
+    running < options.guaranteedSlots(pool);
+}
--- a/packages/core/server_state.ts
+++ b/packages/core/server_state.ts
@@ -1,4 +1,4 @@
-/** One server and one pool as a host sees them, and what follows from that. */
+/** State of backend servers and pools as a host sees them, and the conditions for sending requests to them. */
 import type * as config from "./config.ts";
 import * as constants from "./constants.ts";
 import type * as events from "./events.ts";
@@ -8,70 +8,77 @@
 export interface ServerState {
   readonly info: events.ServerInfo;
   readonly pool: config.PoolPart;
-  /** Requests of this host that it is running. */
+  /** Number of requests of this host that the server is running. */
   running: number;
-  /** Its requests by tier, the tier being the index. */
+  /** Number of running requests of this host by tier; the tier is the index. */
   readonly runningByTier: number[];
-  /** Prompt tokens of this host that it has not yet taken in. */
+  /** Prompt tokens of this host that await prefill. */
   prompting: number;
-  /** Slots of it that this host prefers over those of other servers. */
-  homeSlots: number;
-  /** What other hosts run on it, and the prompt tokens of theirs that it has not yet read, as was told at `at`. */
+  /** Number of its slots that this host prefers to use. */
+  preferredSlots: number;
+  /** Running requests and prompt tokens that await prefill of all other hosts, as reported at time `at`. */
   elsewhere?: {
     readonly running: number;
     readonly prompting: number;
     readonly at: number;
   };
-  /** Suspect requests among them. */
+  /** Number of suspect requests among the running ones of this host. */
   suspects: number;
-  /** Last load report, the time it arrived and what this host had running then. */
+  /** Last load report, with the number of requests that this host was running when it arrived. */
   report?: events.LoadReport & { readonly ownRunning: number };
+  /** Number of failures since the last success. */
   consecutiveFailures: number;
+  /** Number of ejections since the last success; the ejection time grows with it. */
   ejections: number;
+  /** Time until which the server is ejected, monotonic ms. */
   ejectedUntil: number;
-  /** When it last came into use, for the slow start. */
+  /** Time at which the slow start of the server begins, monotonic ms. */
   admittedAt: number;
-  /** Until when it is taken for cold, monotonic ms. */
+  /** Time until which the server is considered cold, monotonic ms. */
   coldUntil: number;
   /** Moving average of the time between tokens, in ms; 0 before the first sample. */
   tokenMs: number;
 }
 
-/** What this host may use of one pool. */
+/** State of one pool, with the slots that this host may use. */
 export interface PoolState {
   readonly part: config.PoolPart;
-  /** Whether it stands in another failure domain. */
-  readonly foreign: boolean;
-  /** When the demand was sent that its grant answers. */
+  /** Whether the pool belongs to another failure domain. */
+  readonly remote: boolean;
+  /** Time at which the demand for the current grant was sent. */
   grantedAt: number;
-  /** Slots granted to this host for the classes that are held back. */
+  /** Slots granted to this host by class; classes without an entry are not limited. */
   limits: ReadonlyMap<string, number>;
-  /** Slots of all its live servers. */
+  /** Number of slots of all its live servers. */
   totalSlots: number;
+  /** Number of requests of this host that the pool is running. */
   running: number;
   readonly runningByClass: Map<string, number>;
+  /** Lowest tier that other hosts run beyond its guaranteed share; 0 if there is none. */
   lowestTierElsewhere: number;
+  /** Tier that waits for slots which this host uses beyond its grant; 0 if there is none. */
   recallForTier: number;
+  /** Number of requests queued at other hosts, by tier. */
   queuedElsewhere: readonly events.TierCount[];
-  /** Classes that got fewer slots than were asked for. */
+  /** Classes that were granted fewer slots than demanded. */
   short: readonly string[];
-  /** Moving average of the time between tokens over its servers, in ms. */
+  /** Moving average of the time between tokens of all its servers, in ms. */
   tokenMs: number;
 }
 
 /**
- * Makes the state of a pool of which nothing is granted yet.
+ * Creates the state of a pool without grants.
  *
  * @example
  * const pool = createPoolState(part, false);
  */
 export function createPoolState(
   part: config.PoolPart,
-  foreign: boolean,
+  remote: boolean,
 ): PoolState {
   return {
     part,
-    foreign,
+    remote,
     grantedAt: Number.NEGATIVE_INFINITY,
     limits: new Map(),
     totalSlots: 0,
@@ -86,11 +93,11 @@
 }
 
 /**
- * Estimates what a server is running: this host's own work and what the
- * capacity leader told of the others'. Without recent word from the leader it
- * goes by the server's report, which lags, so this host's own starts and ends
- * since then are added; it can never be less than what this host itself has
- * running there.
+ * Estimates the number of requests that a server is running: those of this host
+ * plus those of other hosts according to the last recent count. Without a recent
+ * count the estimate uses the server's last load report and adds the requests
+ * that this host has started and ended since then. It is never less than the
+ * number of requests that this host is running on the server.
  *
  * @example
  * const load = estimateLoad(server, now);
@@ -104,25 +111,26 @@
   }
   if (server.report === undefined) return server.running;
   const reported = server.report.running + server.report.waiting;
-  const since = server.running - server.report.ownRunning;
-  return Math.max(server.running, reported + since);
+  const changeSinceReport = server.running - server.report.ownRunning;
+  return Math.max(server.running, reported + changeSinceReport);
 }
 
 /**
- * Estimates the prompt tokens that a server has not yet read, of all hosts.
+ * Estimates the prompt tokens of all hosts that await prefill on a server.
  *
  * @example
  * const tokens = estimatePrompting(server, now);
  */
 export function estimatePrompting(server: ServerState, now: number): number {
   const { elsewhere, prompting } = server;
-  const known = elsewhere !== undefined &&
+  const isRecent = elsewhere !== undefined &&
     now - elsewhere.at < constants.GRANT_VALID_MS;
-  return prompting + (known ? elsewhere.prompting : 0);
+  return prompting + (isRecent ? elsewhere.prompting : 0);
 }
 
 /**
- * Returns the slots of a server: its own where it names them, else its pool's.
+ * Returns the number of slots of a server: its own if it declares it, otherwise
+ * that of its pool.
  *
  * @example
  * const share = server.running / getSlots(server);
@@ -132,8 +140,8 @@
 }
 
 /**
- * Returns how many requests the server may hold now: its pool's slots, fewer
- * during its slow start.
+ * Returns how many requests a server may run now: its slots, or fewer during its
+ * slow start.
  *
  * @example
  * const free = getCapacity(server, now) - estimateLoad(server, now);
@@ -148,7 +156,7 @@
 }
 
 /**
- * Whether the server is in use: neither leaving nor ejected.
+ * Whether a server is in use: neither leaving nor ejected.
  *
  * @example
  * servers.filter((server) => isInUse(server, now));
@@ -158,7 +166,8 @@
 }
 
 /**
- * Whether a server is taken for cold, and its pool bounds what cold ones get.
+ * Whether a server is considered cold and its pool limits the requests to cold
+ * servers.
  *
  * @example
  * const turns = isCold(server, now) ? coldTurns : undefined;
@@ -168,7 +177,7 @@
 }
 
 /**
- * Gives a server no work until a moment.
+ * Ejects a server: it gets no requests until the given time, then starts slowly.
  *
  * @example
  * withdrawServer(server, now + constants.EJECT_MS);
@@ -179,8 +188,9 @@
 }
 
 /**
- * Does the same with a server that took no connection: it may have ended, and
- * what comes back under its name has just started.
+ * Ejects a server that accepts no connections and marks it as cold for the time
+ * after the ejection: its process may have ended, so the process that next
+ * answers under its name has just started.
  *
  * @example
  * abandonServer(server, now + constants.EJECT_MS);
@@ -192,7 +202,7 @@
 }
 
 /**
- * Whether a server stands where a request may run.
+ * Whether a server is in a failure domain in which a request may run.
  *
  * @example
  * servers.filter((server) => mayRunAt(server, request));
@@ -206,24 +216,25 @@
 }
 
 /**
- * Whether the server may be given one more request: it is not leaving, not
- * ejected, and holds less than what keeps it busy.
+ * Whether a server may be sent one more request: it is in use, below this host's
+ * connection limit, and its estimated load is below its capacity.
  *
  * @example
  * servers.filter((server) => hasRoom(server, now));
  */
 export function hasRoom(server: ServerState, now: number): boolean {
   return isInUse(server, now) &&
-    // What the other hosts run there takes none of this host's connections.
+    // Requests of other hosts do not count against this host's connections.
     server.running < (server.info.ownLimit ?? Number.POSITIVE_INFINITY) &&
     estimateLoad(server, now) < getCapacity(server, now);
 }
 
 /**
- * Whether the host's grant allows one more request of a class in a pool. In
- * its own failure domain a host without a grant uses what it sees; in another
- * one it uses only what it was granted, and only while the grant is fresh: its
- * leader may have given the slots to a higher tier since.
+ * Whether this host's grant allows one more request of a class in a pool. In its
+ * own failure domain a host without a grant is limited only by the load that it
+ * sees. In another failure domain it uses only granted slots, and only while the
+ * grant is recent, because the capacity leader there may have granted the slots
+ * to a higher tier since.
  *
  * @example
  * isWithinGrant(pool, { className: "lookup", now });
@@ -234,13 +245,13 @@
 ): boolean {
   const limit = pool.limits.get(className);
   const running = pool.runningByClass.get(className) ?? 0;
-  if (!pool.foreign) return limit === undefined || running < limit;
+  if (!pool.remote) return limit === undefined || running < limit;
   const fresh = now - pool.grantedAt <= constants.GRANT_VALID_MS;
   return fresh && limit !== undefined && running < limit;
 }
 
 /**
- * Records a whole answer: the server is well.
+ * Records a complete response, which resets the failure counts of a server.
  *
  * @example
  * recordSuccess(server);
--- a/packages/core/servers.ts
+++ b/packages/core/servers.ts
@@ -1,4 +1,4 @@
-/** The host's table of backend servers and pools. */
+/** Table of the backend servers and pools that a host uses. */
 import * as config from "./config.ts";
 import * as constants from "./constants.ts";
 import type * as events from "./events.ts";
@@ -6,17 +6,17 @@
 import type * as request from "./request.ts";
 import * as serverState from "./server_state.ts";
 
-/** All backend servers and pools that the host knows. */
+/** All backend servers and pools known to a host. */
 export class ServerTable {
   readonly #host: string;
   readonly #failureDomain: string;
-  readonly #visited = new Map<string, readonly events.ServerInfo[]>();
+  readonly #lentByDomain = new Map<string, readonly events.ServerInfo[]>();
   #hosts: readonly string[] = [];
   readonly #servers = new Map<string, serverState.ServerState>();
   readonly #pools = new Map<string, serverState.PoolState>();
   #poolsByTarget = new Map<string, serverState.PoolState[]>();
   #byTarget = new Map<string, serverState.ServerState[]>();
-  #homeByTarget = new Map<string, serverState.ServerState[]>();
+  #preferredByTarget = new Map<string, serverState.ServerState[]>();
   #infos: readonly events.ServerInfo[] = [];
 
   constructor(
@@ -29,22 +29,22 @@
     this.#failureDomain = failureDomain;
   }
 
-  /** Takes over the live hosts of the failure domain. */
+  /** Sets the live hosts of the failure domain. */
   setHosts(hosts: readonly string[]): void {
     this.#hosts = hosts;
-    this.#divideAll();
+    this.#allocateAllPreferredSlots();
   }
 
-  /** Takes over the pools of a configuration. */
+  /** Sets the pools of a configuration; pools that remain keep their state. */
   setPools(pools: ReadonlyMap<string, config.PoolPart>): void {
     [...this.#pools.keys()].filter((name) => !pools.has(name))
       .forEach((name) => this.#pools.delete(name));
     pools.forEach((part, name) => {
       const known = this.#pools.get(name);
-      const foreign = part.failureDomain !== this.#failureDomain;
+      const remote = part.failureDomain !== this.#failureDomain;
       this.#pools.set(
         name,
-        known ? { ...known, part } : serverState.createPoolState(part, foreign),
+        known ? { ...known, part } : serverState.createPoolState(part, remote),
       );
     });
     this.#poolsByTarget = indexByTarget(
@@ -54,7 +54,7 @@
     this.#applyInfos();
   }
 
-  /** Takes over the fleet's list of this failure domain's servers. */
+  /** Sets the backend servers of this failure domain, as listed by the fleet. */
   setServers(infos: readonly events.ServerInfo[], now: number): void {
     this.#infos = infos;
     this.#applyInfos();
@@ -65,14 +65,17 @@
     });
   }
 
-  /** Takes over the servers that another failure domain lends. */
-  setVisited(failureDomain: string, infos: readonly events.ServerInfo[]): void {
-    this.#visited.set(failureDomain, infos);
+  /** Sets the backend servers that another failure domain lends. */
+  setLentServers(
+    failureDomain: string,
+    infos: readonly events.ServerInfo[],
+  ): void {
+    this.#lentByDomain.set(failureDomain, infos);
     this.#applyInfos();
   }
 
   #applyInfos(): void {
-    const infos = [...this.#infos, ...[...this.#visited.values()].flat()];
+    const infos = [...this.#infos, ...[...this.#lentByDomain.values()].flat()];
     const listed = new Set(infos.map((info) => info.name));
     [...this.#servers.keys()].filter((name) => !listed.has(name))
       .forEach((name) => this.#servers.delete(name));
@@ -84,47 +87,52 @@
     this.#pools.forEach((pool) => {
       pool.totalSlots = countLiveSlots(this.#servers, pool.part.name);
     });
-    this.#divideAll();
+    this.#allocateAllPreferredSlots();
   }
 
-  #divideAll(): void {
-    this.#pools.forEach((_, pool) => this.#divide(pool));
-    const home = [...this.#servers.values()]
-      .filter((server) => server.homeSlots > 0);
-    this.#homeByTarget = indexByTarget(home, (server) => server.pool.targets);
+  #allocateAllPreferredSlots(): void {
+    this.#pools.forEach((_, pool) => this.#allocatePreferredSlots(pool));
+    const preferred = [...this.#servers.values()]
+      .filter((server) => server.preferredSlots > 0);
+    this.#preferredByTarget = indexByTarget(
+      preferred,
+      (server) => server.pool.targets,
+    );
   }
 
-  #divide(pool: string): void {
-    const live = this.#listOf(pool).filter(({ info }) => info.state === "live");
-    const home = partition.computeHomeSlots(
+  #allocatePreferredSlots(pool: string): void {
+    const live = this.#listByPool(pool).filter(({ info }) =>
+      info.state === "live"
+    );
+    const preferred = partition.computePreferredSlots(
       live.map(({ info, pool: { slots } }) => ({ name: info.name, slots })),
       { hosts: this.#hosts, host: this.#host },
     );
-    this.#listOf(pool).forEach((server) => {
-      server.homeSlots = home.get(server.info.name) ?? 0;
+    this.#listByPool(pool).forEach((server) => {
+      server.preferredSlots = preferred.get(server.info.name) ?? 0;
     });
   }
 
-  #listOf(pool: string): serverState.ServerState[] {
+  #listByPool(pool: string): serverState.ServerState[] {
     return [...this.#servers.values()].filter(({ info }) => info.pool === pool);
   }
 
   /**
-   * Lists the servers of a pool of which this host must know what others run
-   * there: all in a small failure domain, else its own and those it uses.
-   * Calls of plain services are over before word of them arrives, so counts of
-   * those would only keep slots empty.
+   * Lists the servers of a pool for which this host needs the counts of other
+   * hosts: all servers of a small pool, otherwise those that it prefers or uses.
+   * The list is empty for plain services: their calls end before the counts
+   * arrive, so the counts would only keep slots idle.
    */
   listShared(pool: string): events.ServerCount[] {
     if (this.#pools.get(pool)?.part.serves === "service") return [];
-    const own = this.#listOf(pool);
+    const own = this.#listByPool(pool);
     const all = own.length <= constants.MAX_SHARED_SERVERS;
     return own.filter((server) =>
-      all || server.homeSlots > 0 || server.running > 0
+      all || server.preferredSlots > 0 || server.running > 0
     ).map(({ info, running }) => ({ server: info.name, running }));
   }
 
-  /** Records what other hosts ran at time `at`. */
+  /** Records how many requests other hosts ran on servers at time `at`. */
   recordElsewhere(counts: readonly events.ServerCount[], at: number): void {
     counts.forEach(({ server, running }) => {
       const known = this.#servers.get(server);
@@ -132,7 +140,7 @@
     });
   }
 
-  /** Records what all other hosts together ran at time `at`; plain services' calls are over before word of them. */
+  /** Records the load of all other hosts at time `at`, except for plain services, whose calls end before the counts arrive. */
   recordAllElsewhere(
     { running, prompting }: {
       readonly running: Readonly<Record<string, number>>;
@@ -163,7 +171,7 @@
         info,
         pool,
         running: 0,
-        homeSlots: 0,
+        preferredSlots: 0,
         runningByTier: [],
         prompting: 0,
         suspects: 0,
@@ -189,7 +197,7 @@
     return [...this.#pools.values()];
   }
 
-  /** Lists the pools that offer a target. */
+  /** Lists the pools that serve a target. */
   listPoolsFor(target: string): readonly serverState.PoolState[] {
     return this.#poolsByTarget.get(target) ?? [];
   }
@@ -198,24 +206,24 @@
     return [...this.#servers.values()];
   }
 
-  /** Lists the servers that offer a target, leaving and ejected ones included. */
+  /** Lists the servers that serve a target, including leaving and ejected ones. */
   listFor(target: string): readonly serverState.ServerState[] {
     return this.#byTarget.get(target) ?? [];
   }
 
-  /** Lists those of them that this host prefers. */
-  listHomeFor(target: string): readonly serverState.ServerState[] {
-    return this.#homeByTarget.get(target) ?? [];
+  /** Lists the servers that serve a target and have preferred slots of this host. */
+  listPreferredFor(target: string): readonly serverState.ServerState[] {
+    return this.#preferredByTarget.get(target) ?? [];
   }
 
-  /** Whether any server that offers a target may be given one more request. */
+  /** Whether any server that serves a target may be sent one more request. */
   hasRoomFor(target: string, now: number): boolean {
     return this.listFor(target).some((server) =>
       serverState.hasRoom(server, now)
     );
   }
 
-  /** Records that an attempt began. */
+  /** Records the start of an attempt. */
   recordStart(
     server: serverState.ServerState,
     { className, tier }: Pick<request.Request, "className" | "tier">,
@@ -231,7 +239,7 @@
     );
   }
 
-  /** Records that an attempt ended, however it ended. */
+  /** Records the end of an attempt, whatever its outcome. */
   recordEnd(ended: {
     readonly server: string;
     readonly pool: string;
@@ -252,7 +260,7 @@
     );
   }
 
-  /** Records how long a server took between tokens, in ms. */
+  /** Adds a sample of the time between tokens of a server, in ms. */
   recordSpeed(server: serverState.ServerState, tokenMs: number): void {
     server.tokenMs = computeAverage(server.tokenMs, tokenMs);
     const pool = this.#pools.get(server.info.pool);
@@ -262,8 +270,8 @@
   }
 
   /**
-   * Records a failure. A server that fails again and again is ejected; one that
-   * takes no connection, at once.
+   * Records a failed attempt. A server is ejected after several consecutive
+   * failures, or at once if it accepts no connections.
    */
   recordFailure(
     server: serverState.ServerState,
@@ -272,7 +280,7 @@
       readonly now: number;
     },
   ): void {
-    // Several attempts may find the same loss; it counts once.
+    // Several attempts may fail by the same loss of a server; it counts once.
     if (now < server.ejectedUntil) return;
     server.consecutiveFailures += failure === "not_sent"
       ? constants.EJECT_AFTER_FAILURES
@@ -288,7 +296,7 @@
     else serverState.withdrawServer(server, now + ms);
   }
 
-  /** Takes over a load report. */
+  /** Records a load report of a server. */
   recordReport(report: events.LoadReport): void {
     const server = this.#servers.get(report.server);
     if (server === undefined) return;
--- a/scripts/mutations.ts
+++ b/scripts/mutations.ts
@@ -70,22 +70,22 @@
   {
     name: "overflow: visitors are served as the failure domain's own",
     file: "packages/core/allocation.ts",
-    find: "divideEvenly(own.filter((one) => !one.visiting), left)",
+    find: "divideEvenly(own.filter((one) => !one.remote), left)",
     replace: "divideEvenly(own, left)",
     test: OVERFLOW,
   },
   {
     name: "overflow: a host waits for failure domains that have nothing",
     file: "packages/core/overflow.ts",
-    find: "return !known || !pool.short",
+    find: "return !isGrantKnown || !pool.short",
     replace: "return true || !pool.short",
     test: OVERFLOW,
   },
   {
     name: "routing: hosts prefer no servers of their own",
     file: "packages/core/partition.ts",
-    find: "const place = hosts.toSorted().indexOf(host);",
-    replace: "const place = hosts.length > 1 ? -1 : 0;",
+    find: "const position = hosts.toSorted().indexOf(host);",
+    replace: "const position = hosts.length > 1 ? -1 : 0;",
     test: ROUTING,
   },
   {
