--- a/packages/core/overflow_test.ts
+++ b/packages/core/overflow_test.ts
@@ -141,9 +141,8 @@
 });
 
 tap.t.test("a suspect request is not sent to other failure domains", (t) => {
-  // Guards against a poison request that crashes engines in all failure domains.
-  // Its retries went from one failure domain to the next, and crashed two
-  // engines in each of four.
+  // Guards against a poison request that is sent to every failure domain. One
+  // such request took down two engines in each of four failure domains.
   const dispatcher = startWithoutServers();
   dispatcher.handle({
     kind: "suspected",
--- a/packages/core/router.ts
+++ b/packages/core/router.ts
@@ -329,14 +329,16 @@
     const rateLimited = this.#table.listPools().filter(({ part }) =>
       part.coldStart !== undefined && pools.has(part.name)
     );
-    const open = rateLimited.filter(({ part: { name, coldStart, targets } }) =>
+    const usable = rateLimited.filter((
+      { part: { name, coldStart, targets } },
+    ) =>
       this.#coldTurns.has({
         name,
         servers: this.#countCold(name, { target: targets[0], now }),
         mostPerSecond: coldStart?.mostPerSecond ?? 0,
       }, now)
     );
-    return new Set(open.map(({ part }) => part.name));
+    return new Set(usable.map(({ part }) => part.name));
   }
 
   /**
