--- a/packages/core/membership.ts
+++ b/packages/core/membership.ts
@@ -1,54 +1,56 @@
 /**
- * Membership of one failure domain by heartbeats along a few fingers. Hosts
- * stand in a ring by the hash of their names; each beats to those 1, 2, 4, ...
- * places on, so state per host is its failure domain and messages grow with
- * the logarithm of it. A host that misses beats is suspected by whoever beat
- * to it, word of it spreads with the beats, and the host itself takes it back
- * by a higher incarnation, so a pause or a one-way cut does not remove it.
+ * SWIM-style membership of one failure domain. Hosts are placed on a ring by
+ * the hash of their names, and each host sends heartbeats to the hosts 1, 2, 4,
+ * ... places after it. Each host therefore stores only the members of its
+ * failure domain and sends a number of heartbeats that grows with the logarithm
+ * of the member count. A host that does not answer heartbeats becomes suspect.
+ * The suspicion spreads with the heartbeats, and the suspected host refutes it
+ * with a higher incarnation, so that a pause or a one-way network partition
+ * does not remove a healthy host.
  */
 import * as utils from "@banyangrade/utils";
 
-/** What is believed of a host. */
+/** State of a host as other hosts see it. */
 export type MemberStatus = "alive" | "suspect" | "dead" | "left";
 
 /** A host of the failure domain. */
 export interface Member {
   readonly name: string;
   readonly address: string;
-  /** Raised by the host itself, to take back a suspicion or to start anew. */
+  /** Increased only by the host itself, to refute a suspicion or after a restart. */
   readonly incarnation: number;
   readonly status: MemberStatus;
 }
 
-/** Times in ms. */
-export interface MembershipTimes {
-  /** Beats missed in a row before a host is suspected. */
+/** Thresholds after which an unresponsive host changes its status. */
+export interface MembershipTimeouts {
+  /** Consecutive unanswered heartbeats after which a host becomes suspect. */
   readonly suspectAfterMisses: number;
-  /** Time from suspicion to removal. */
+  /** Time in ms after which a suspect host is declared dead. */
   readonly deadAfterMs: number;
-  /** Time for which a removed host is remembered, so that old news of it is known as old. */
+  /** Time in ms for which a removed host is remembered, so that outdated updates about it are recognised. */
   readonly forgetAfterMs: number;
 }
 
-/** Defaults: a dead host is out within about 4 s at one beat a second. */
-export const DEFAULT_TIMES: MembershipTimes = {
+/** Default timeouts: with one heartbeat per second, a dead host is removed within about 4 s. */
+export const DEFAULT_MEMBERSHIP_TIMEOUTS: MembershipTimeouts = {
   suspectAfterMisses: 2,
   deadAfterMs: 2_000,
   forgetAfterMs: 60_000,
 };
 
-/** Times that one piece of news is passed on to each finger. */
-const NEWS_REPEATS = 3;
-/** Most members in the news of one beat. */
-const NEWS_LIMIT = 16;
+/** How often an update is sent, as a multiple of the logarithm of the member count. */
+const UPDATE_SENDS_FACTOR = 3;
+/** Maximum number of member updates updates by one heartbeat. */
+const MAX_UPDATES_PER_HEARTBEAT = 16;
 
-interface Known {
+interface MemberRecord {
   member: Member;
-  /** Monotonic ms of the last change of status. */
+  /** Monotonic time in ms of the last update of the member. */
   changedAt: number;
   misses: number;
-  /** Beats that still carry it. */
-  repeats: number;
+  /** Number of further heartbeats that carry this member. */
+  sendsLeft: number;
 }
 
 const SEVERITY: Readonly<Record<MemberStatus, number>> = {
@@ -58,189 +60,195 @@
   left: 3,
 };
 
-/** One host's view of its failure domain. */
+/** View that one host has of the members of its failure domain. */
 export class Membership {
   readonly #self: string;
-  readonly #times: MembershipTimes;
-  readonly #known = new Map<string, Known>();
+  readonly #timeouts: MembershipTimeouts;
+  readonly #records = new Map<string, MemberRecord>();
   #ring: string[] | undefined;
 
-  constructor(self: Member, times: MembershipTimes = DEFAULT_TIMES) {
+  constructor(
+    self: Member,
+    timeouts: MembershipTimeouts = DEFAULT_MEMBERSHIP_TIMEOUTS,
+  ) {
     this.#self = self.name;
-    this.#times = times;
-    this.#set(self, 0);
+    this.#timeouts = timeouts;
+    this.#setMember(self, 0);
   }
 
   getSelf(): Member {
-    return (this.#known.get(this.#self) as Known).member;
+    return (this.#records.get(this.#self) as MemberRecord).member;
   }
 
   get(name: string): Member | undefined {
-    return this.#known.get(name)?.member;
+    return this.#records.get(name)?.member;
   }
 
-  /** Lists the hosts that take part: alive or merely suspected. */
+  /** Lists the hosts that are alive or suspect. */
   listActive(): Member[] {
     return this.#getRing().map((name) =>
-      (this.#known.get(name) as Known).member
+      (this.#records.get(name) as MemberRecord).member
     );
   }
 
-  /** Lists everything known, for a host that joins or disagrees. */
+  /** Lists all known hosts, for a host that joins or whose view differs. */
   listAll(): Member[] {
-    return [...this.#known.values()].map((known) => known.member);
+    return [...this.#records.values()].map((record) => record.member);
   }
 
-  /** Lists hosts that were removed, to be tried again after a cut. */
+  /** Lists the hosts declared dead, so that they can be contacted again after a network partition. */
   listDead(): Member[] {
     return this.listAll().filter((member) => member.status === "dead");
   }
 
-  /** Lists the hosts this one beats to. */
+  /** Lists the hosts to which this host sends heartbeats. */
   listFingers(): Member[] {
     const ring = this.#getRing();
-    const at = ring.indexOf(this.#self);
+    const ownIndex = ring.indexOf(this.#self);
     const names = new Set<string>();
     for (let step = 1; step < ring.length; step *= 2) {
-      names.add(ring[(at + step) % ring.length]);
+      names.add(ring[(ownIndex + step) % ring.length]);
     }
     names.delete(this.#self);
-    return [...names].map((name) => (this.#known.get(name) as Known).member);
+    return [...names].map((name) =>
+      (this.#records.get(name) as MemberRecord).member
+    );
   }
 
-  /** Lists the first `count` hosts by hash for a purpose, the same on all hosts. */
+  /** Lists the first `count` active hosts by rendezvous hash for a purpose; hosts with equal views get equal lists. */
   listRanked(purpose: string, count: number): Member[] {
     return rankMembers(this.listActive(), purpose).slice(0, count);
   }
 
-  /** Whether this host is among the first `count` for a purpose. */
+  /** Returns whether this host is among the first `count` hosts for a purpose. */
   isRanked(purpose: string, count: number): boolean {
     return this.listRanked(purpose, count).some((member) =>
       member.name === this.#self
     );
   }
 
-  /** Digest of the view; hosts whose digests differ for long exchange everything. */
+  /** Returns a digest of the view; hosts whose digests keep differing exchange their full views. */
   getSummary(): string {
-    const view = this.listActive().map((member) =>
+    const entries = this.listActive().map((member) =>
       `${member.name}:${member.incarnation}`
     );
-    return utils.computeDigest(view.toSorted().join()).slice(0, 16);
+    return utils.computeDigest(entries.toSorted().join()).slice(0, 16);
   }
 
-  /** Takes what is to be passed on with the next beat. */
+  /** Takes the member updates to send with the next heartbeat. */
   takeNews(): Member[] {
-    const carried = [...this.#known.values()].filter((known) =>
-      known.repeats > 0
-    ).slice(0, NEWS_LIMIT);
-    carried.forEach((known) => {
-      known.repeats -= 1;
+    const updates = [...this.#records.values()].filter((record) =>
+      record.sendsLeft > 0
+    ).slice(0, MAX_UPDATES_PER_HEARTBEAT);
+    updates.forEach((record) => {
+      record.sendsLeft -= 1;
     });
-    return carried.map((known) => known.member);
+    return updates.map((record) => record.member);
   }
 
-  /** Merges news; returns whether the view changed. */
+  /** Merges member updates from another host; returns whether the view changed. */
   merge(members: readonly Member[], now: number): boolean {
     return members.filter((member) => this.#mergeOne(member, now)).length > 0;
   }
 
-  #mergeOne(news: Member, now: number): boolean {
-    const known = this.#known.get(news.name);
-    if (news.name === this.#self) return this.#defend(news, now);
-    if (known !== undefined && !isNewer(news, known.member)) return false;
-    this.#set(news, now);
+  #mergeOne(update: Member, now: number): boolean {
+    const record = this.#records.get(update.name);
+    if (update.name === this.#self) return this.#mergeOwnUpdate(update, now);
+    if (record !== undefined && !isNewer(update, record.member)) return false;
+    this.#setMember(update, now);
     return true;
   }
 
-  /** Takes back what others believe of this host, by a higher incarnation. */
-  #defend(news: Member, now: number): boolean {
+  /** Refutes an update that reports this host as failed, by a higher incarnation. */
+  #mergeOwnUpdate(update: Member, now: number): boolean {
     const self = this.getSelf();
-    const harmless = news.status === "alive" || self.status === "left";
-    if (harmless && news.incarnation <= self.incarnation) return false;
-    const incarnation = Math.max(news.incarnation, self.incarnation) + 1;
-    this.#set({ ...self, incarnation }, now);
+    const isHarmless = update.status === "alive" || self.status === "left";
+    if (isHarmless && update.incarnation <= self.incarnation) return false;
+    const incarnation = Math.max(update.incarnation, self.incarnation) + 1;
+    this.#setMember({ ...self, incarnation }, now);
     return true;
   }
 
-  /** Records that a beat to a host was answered. */
+  /** Records that a host answered a heartbeat. */
   recordAnswer(name: string): void {
-    const known = this.#known.get(name);
-    if (known !== undefined) known.misses = 0;
+    const record = this.#records.get(name);
+    if (record !== undefined) record.misses = 0;
   }
 
-  /** Records that a beat to a host was missed. */
+  /** Records that a host did not answer a heartbeat. */
   recordMiss(name: string, now: number): void {
-    const known = this.#known.get(name);
-    if (known === undefined) return;
-    known.misses += 1;
-    const suspected = known.misses >= this.#times.suspectAfterMisses;
-    if (suspected && known.member.status === "alive") {
-      this.#set({ ...known.member, status: "suspect" }, now);
+    const record = this.#records.get(name);
+    if (record === undefined) return;
+    record.misses += 1;
+    const suspected = record.misses >= this.#timeouts.suspectAfterMisses;
+    if (suspected && record.member.status === "alive") {
+      this.#setMember({ ...record.member, status: "suspect" }, now);
     }
   }
 
-  /** Records that this host is leaving. */
+  /** Records that this host is leaving the failure domain. */
   leave(now: number): void {
-    this.#set({ ...this.getSelf(), status: "left" }, now);
+    this.#setMember({ ...this.getSelf(), status: "left" }, now);
   }
 
-  /** Removes hosts that stayed suspect; returns whether the view changed. */
+  /** Declares hosts dead that stayed suspect for too long, and forgets hosts removed long ago; returns whether the view changed. */
   tick(now: number): boolean {
-    const overdue = [...this.#known.values()].filter((known) =>
-      known.member.status === "suspect" &&
-      now - known.changedAt >= this.#times.deadAfterMs
+    const timedOut = [...this.#records.values()].filter((record) =>
+      record.member.status === "suspect" &&
+      now - record.changedAt >= this.#timeouts.deadAfterMs
     );
-    overdue.forEach((known) =>
-      this.#set({ ...known.member, status: "dead" }, now)
+    timedOut.forEach((record) =>
+      this.#setMember({ ...record.member, status: "dead" }, now)
     );
-    [...this.#known.values()].filter((known) =>
-      SEVERITY[known.member.status] >= SEVERITY.dead &&
-      now - known.changedAt >= this.#times.forgetAfterMs
-    ).forEach((known) => this.#known.delete(known.member.name));
-    return overdue.length > 0;
+    [...this.#records.values()].filter((record) =>
+      SEVERITY[record.member.status] >= SEVERITY.dead &&
+      now - record.changedAt >= this.#timeouts.forgetAfterMs
+    ).forEach((record) => this.#records.delete(record.member.name));
+    return timedOut.length > 0;
   }
 
-  #set(member: Member, now: number): void {
-    const misses = this.#known.get(member.name)?.misses ?? 0;
-    this.#known.set(member.name, {
+  #setMember(member: Member, now: number): void {
+    const misses = this.#records.get(member.name)?.misses ?? 0;
+    this.#records.set(member.name, {
       member,
       changedAt: now,
       misses: member.status === "alive" ? 0 : misses,
-      repeats: NEWS_REPEATS * Math.ceil(Math.log2(this.#known.size + 2)),
+      sendsLeft: UPDATE_SENDS_FACTOR *
+        Math.ceil(Math.log2(this.#records.size + 2)),
     });
     this.#ring = undefined;
   }
 
   #getRing(): string[] {
-    this.#ring ??= [...this.#known.values()]
-      .filter((known) => SEVERITY[known.member.status] < SEVERITY.dead)
-      .map((known) => known.member.name)
+    this.#ring ??= [...this.#records.values()]
+      .filter((record) => SEVERITY[record.member.status] < SEVERITY.dead)
+      .map((record) => record.member.name)
       .toSorted((a, b) => hashName(a) < hashName(b) ? -1 : 1);
     return this.#ring;
   }
 }
 
-/** A higher incarnation wins; within one, the worse news does. */
-function isNewer(news: Member, known: Member): boolean {
-  if (news.incarnation !== known.incarnation) {
-    return news.incarnation > known.incarnation;
+/** Returns whether an update supersedes a record: by a higher incarnation, or by a more severe status of the same incarnation. */
+function isNewer(update: Member, known: Member): boolean {
+  if (update.incarnation !== known.incarnation) {
+    return update.incarnation > known.incarnation;
   }
-  return SEVERITY[news.status] > SEVERITY[known.status];
+  return SEVERITY[update.status] > SEVERITY[known.status];
 }
 
-const hashes = new Map<string, string>();
+const hashCache = new Map<string, string>();
 
 function hashName(name: string): string {
-  const known = hashes.get(name);
-  if (known !== undefined) return known;
+  const cached = hashCache.get(name);
+  if (cached !== undefined) return cached;
   const hash = utils.computeDigest(name);
-  hashes.set(name, hash);
+  hashCache.set(name, hash);
   return hash;
 }
 
 /**
- * Orders hosts for a purpose by rendezvous hash: when one leaves, only what it
- * held moves.
+ * Orders hosts for a purpose by rendezvous hashing, so that the loss of a host
+ * moves only the assignments of that host.
  *
  * @example
  * rankMembers(members, "relay")[0];
