--- a/packages/core/host_statuses.ts
+++ b/packages/core/host_statuses.ts
@@ -1,15 +1,16 @@
 /**
- * What hosts tell each other of themselves, and what follows from the statuses of
- * many. A status replaces the one before, so a lost one is made good by the next.
- * Counts of work are of use for a few seconds; what a host counted for usage
- * must outlast it.
+ * Statuses that hosts send to each other, and summaries of the statuses of many
+ * hosts. Each status replaces the previous status of the same host process, so
+ * the next one makes up for a lost one. The load in a status is valid for a few
+ * seconds; the usage counts are kept longer, because they must be reported even
+ * after the host has crashed.
  */
 import type * as engineDivision from "./engine_division.ts";
 import type * as events from "./events.ts";
 import * as pauses from "./pauses.ts";
 import type * as windowCounts from "./window_counts.ts";
 
-/** Requests by server. */
+/** Number of requests, or of prompt tokens, by server. */
 export type ServerCounts = Readonly<Record<string, number>>;
 
 /** Demand by service. */
@@ -17,50 +18,50 @@
   Record<string, engineDivision.PromptDemand>
 >;
 
-/** What one host tells. */
+/** Status that one host sends to other hosts. */
 export interface HostStatus {
   readonly host: string;
   readonly incarnation: string;
-  /** Its true time of day when it said this, Unix ms. */
+  /** Corrected time of day of the host when it sent the status, in Unix ms. */
   readonly at: number;
-  /** Requests running and queued by service and length of prompt. */
+  /** Requests running and queued, by service and prompt length. */
   readonly demand: ServiceDemands;
-  /** Requests running at each engine. */
+  /** Requests running on each engine. */
   readonly running: ServerCounts;
-  /** Prompt tokens that each engine has not yet read. */
+  /** Prompt tokens that await prefill on each engine. */
   readonly prompting: ServerCounts;
   readonly usage: windowCounts.WindowTable;
-  /** Servers lost of late, and the requests that they ran. */
+  /** Servers that failed recently, with the requests that ran on them. */
   readonly suspects: readonly events.SuspectMark[];
 }
 
-/** How engines are divided between short and long prompts, as one host decided it. */
+/** Decision of one host on how engines are divided between short and long prompts. */
 export interface DecidedDivisions {
-  /** True time of day of the decision, Unix ms; the newest one holds. */
+  /** Corrected time of day of the decision, in Unix ms; the newest decision applies. */
   readonly at: number;
   readonly byService: Readonly<Record<string, engineDivision.EngineDivision>>;
 }
 
-/** What is known of some hosts together. */
+/** Summary of the statuses of a group of hosts. */
 export interface HostsSummary {
-  /** How many they are. */
+  /** Number of hosts in the group. */
   readonly hosts: number;
   readonly demand: ServiceDemands;
   readonly running: ServerCounts;
   readonly prompting: ServerCounts;
-  /** True times of day of some of them, Unix ms, as they are now. */
+  /** Current corrected times of day of some hosts of the group, in Unix ms. */
   readonly times: readonly number[];
   readonly suspects: readonly events.SuspectMark[];
-  /** Absent until one was heard of. */
+  /** Newest decision; absent until one has been received. */
   readonly divisions?: DecidedDivisions;
 }
 
-/** Time for which a host's counts of usage are kept, in ms: three usage windows, in which a window is fixed even by a second holder of the role. */
+/** Time in ms for which the usage counts of a host are kept: three usage windows, within which a window is finalised even if the responsible host fails over. */
 export const KEEP_STATUS_MS = 15_000;
-/** Age up to which counts of work say what runs, in ms: three statuses. */
-const WORK_VALID_MS = 3_000;
-/** Times of other hosts that are passed on: enough for a median that a few jumped clocks do not move. */
-const MAX_TIMES = 15;
+/** Age in ms up to which the load of a status is valid: three status intervals. */
+const LOAD_VALID_MS = 3_000;
+/** Maximum number of clock readings in a summary: enough for a median that a few wrong clocks do not shift. */
+const MAX_CLOCK_READINGS = 15;
 
 const NO_DEMAND: engineDivision.PromptDemand = {
   short: 0,
@@ -69,7 +70,7 @@
   pauses: pauses.NO_PAUSES,
 };
 
-/** A summary of no hosts. */
+/** Summary of an empty group of hosts. */
 export const EMPTY_SUMMARY: HostsSummary = {
   hosts: 0,
   demand: {},
@@ -79,47 +80,48 @@
   suspects: [],
 };
 
-interface Heard {
+interface ReceivedStatus {
   readonly status: HostStatus;
-  /** Monotonic ms. */
+  /** Monotonic time of receipt, in ms. */
   readonly at: number;
-  /** Whether the host said it itself. */
+  /** Whether the status came from the host itself and not through another host. */
   readonly direct: boolean;
 }
 
-/** The statuses that a host has heard. */
+/** Statuses that a host has received. */
 export class HostStatuses {
-  readonly #heard = new Map<string, Heard>();
+  readonly #received = new Map<string, ReceivedStatus>();
 
   /**
-   * Takes over a status, unless it is no newer than what is known of the same
-   * process. One that another host passes on is of unknown age: only what it
-   * counted is of use. Taken for new, the times of statuses that were passed on
-   * during an outage set every host's time of day back by seconds.
+   * Stores a status, unless a status of the same process that is as new is known
+   * already. A status that another host forwards is of unknown age, so only its
+   * usage counts and suspects are used. When its clock reading was used too,
+   * statuses forwarded during an outage set the time of day of every host back by
+   * seconds.
    */
   take(
     status: HostStatus,
     { now, direct }: { readonly now: number; readonly direct: boolean },
   ): void {
     const key = `${status.host}/${status.incarnation}`;
-    const known = this.#heard.get(key);
+    const known = this.#received.get(key);
     if (known !== undefined && known.status.at >= status.at) return;
-    this.#heard.set(key, { status, at: now, direct });
+    this.#received.set(key, { status, at: now, direct });
   }
 
-  /** Lists the statuses that are kept, those of earlier incarnations included. */
+  /** Lists the statuses within their retention time, including those of earlier incarnations. */
   list(now: number): HostStatus[] {
-    [...this.#heard].filter(([, { at }]) => now - at > KEEP_STATUS_MS)
-      .forEach(([key]) => this.#heard.delete(key));
-    return [...this.#heard.values()].map(({ status }) => status);
+    [...this.#received].filter(([, { at }]) => now - at > KEEP_STATUS_MS)
+      .forEach(([key]) => this.#received.delete(key));
+    return [...this.#received.values()].map(({ status }) => status);
   }
 
-  /** Sums the statuses up, but for those of one host. */
+  /** Summarises the statuses, optionally without those of one host. */
   sum(now: number, options: { readonly without?: string } = {}): HostsSummary {
-    const others = [...this.#heard.values()]
+    const others = [...this.#received.values()]
       .filter(({ status }) => status.host !== options.without);
-    const working = keepLatestLives(
-      others.filter(({ at, direct }) => direct && now - at <= WORK_VALID_MS),
+    const current = keepLatestIncarnations(
+      others.filter(({ at, direct }) => direct && now - at <= LOAD_VALID_MS),
     );
     return mergeSummaries([
       {
@@ -127,7 +129,7 @@
         hosts: new Set(others.map(({ status }) => status.host)).size,
         suspects: others.flatMap(({ status }) => status.suspects),
       },
-      ...working.map(({ status, at }) => ({
+      ...current.map(({ status, at }) => ({
         ...EMPTY_SUMMARY,
         demand: status.demand,
         running: status.running,
@@ -138,10 +140,12 @@
   }
 }
 
-/** Keeps what was heard last of each host: the work of an earlier process has ended with it. */
-function keepLatestLives(heard: readonly Heard[]): Heard[] {
-  const latest = new Map<string, Heard>();
-  heard.forEach((one) => {
+/** Keeps the last received status of each host, because the requests of an earlier process ended with that process. */
+function keepLatestIncarnations(
+  received: readonly ReceivedStatus[],
+): ReceivedStatus[] {
+  const latest = new Map<string, ReceivedStatus>();
+  received.forEach((one) => {
     const known = latest.get(one.status.host);
     if (known === undefined || known.at <= one.at) {
       latest.set(one.status.host, one);
@@ -151,7 +155,7 @@
 }
 
 /**
- * Merges what is known of several groups of hosts.
+ * Merges the summaries of several groups of hosts.
  *
  * @example
  * mergeSummaries([own, ...others]).hosts;
@@ -163,20 +167,23 @@
     summaries.flatMap(({ suspects }) => suspects)
       .map((mark) => [`${mark.fingerprint}/${mark.server}`, mark]),
   );
-  const divisions = findNewest(summaries.flatMap((one) => one.divisions ?? []));
+  const divisions = findNewestDecision(
+    summaries.flatMap((one) => one.divisions ?? []),
+  );
   return {
     ...(divisions && { divisions }),
     hosts: summaries.reduce((sum, { hosts }) => sum + hosts, 0),
     demand: sumDemands(summaries.map(({ demand }) => demand)),
     running: sumCounts(summaries.map(({ running }) => running)),
     prompting: sumCounts(summaries.map(({ prompting }) => prompting)),
-    times: summaries.flatMap(({ times }) => times).slice(0, MAX_TIMES),
+    times: summaries.flatMap(({ times }) => times).slice(0, MAX_CLOCK_READINGS),
     suspects: [...marks.values()],
   };
 }
 
 /**
- * Takes out of a summary what is too old to be true.
+ * Advances the clock readings of a summary by its age, and drops its load and
+ * clock readings once they are too old to be valid.
  *
  * @example
  * dropOldWork(summary, 4_000).running; // {}
@@ -185,30 +192,31 @@
   summary: HostsSummary,
   ageMs: number,
 ): HostsSummary {
-  if (ageMs > WORK_VALID_MS) {
-    return { ...EMPTY_SUMMARY, ...keepLasting(summary) };
+  if (ageMs > LOAD_VALID_MS) {
+    return { ...EMPTY_SUMMARY, ...pickDurableFields(summary) };
   }
   return { ...summary, times: summary.times.map((time) => time + ageMs) };
 }
 
-/** What of a summary does not grow old with the work. */
-function keepLasting(
+/** Picks the fields of a summary that remain valid longer than the load. */
+function pickDurableFields(
   { hosts, suspects, divisions }: HostsSummary,
 ): Partial<HostsSummary> {
   return { hosts, suspects, ...(divisions && { divisions }) };
 }
 
 /**
- * Finds the newest of some decisions on the division of engines.
+ * Finds the newest decision on the division of engines.
  *
  * @example
- * findNewest([own, heard])?.byService;
+ * findNewestDecision([own, received])?.byService;
  */
-export function findNewest(
-  divisions: readonly DecidedDivisions[],
+export function findNewestDecision(
+  decisions: readonly DecidedDivisions[],
 ): DecidedDivisions | undefined {
-  return divisions.reduce<DecidedDivisions | undefined>(
-    (newest, one) => newest !== undefined && newest.at >= one.at ? newest : one,
+  return decisions.reduce<DecidedDivisions | undefined>(
+    (newest, decision) =>
+      newest !== undefined && newest.at >= decision.at ? newest : decision,
     undefined,
   );
 }
@@ -265,7 +273,7 @@
 }
 
 /**
- * Sums the demand of hosts for a service.
+ * Sums the demand of all hosts for a service.
  *
  * @example
  * sumDemand(statuses, "planner").short; // 41
--- a/packages/core/host_statuses_test.ts
+++ b/packages/core/host_statuses_test.ts
@@ -1,4 +1,4 @@
-/** What follows from the statuses of many hosts. */
+/** Tests of the summaries of host statuses, and of suspects reported by other hosts. */
 import * as tapModule from "tap";
 import * as core from "./mod.ts";
 
@@ -9,7 +9,7 @@
   return { short, long, reading: short / 2, pauses };
 }
 
-function buildWord(
+function buildStatus(
   host: string,
   changes: Partial<core.HostStatus> = {},
 ): core.HostStatus {
@@ -26,10 +26,10 @@
   };
 }
 
-tap.test("a host is told of all others, not of itself", (t) => {
+tap.test("a summary for a host leaves out its own status", (t) => {
   const statuses = new core.HostStatuses();
   ["a", "b", "c"].forEach((host) =>
-    statuses.take(buildWord(host), { now: 0, direct: true })
+    statuses.take(buildStatus(host), { now: 0, direct: true })
   );
   const others = statuses.sum(500, { without: "a" });
   t.equal(others.hosts, 2);
@@ -40,11 +40,11 @@
   t.end();
 });
 
-// A host is cut off for some seconds. Its requests are no load any more, but it
-// shares the retry budget still, and what it counted must be reported.
-tap.test("an old status counts for what is shared, not for load", (t) => {
+// Guards against a host that is unreachable for seconds and still counts as load.
+// It keeps its share of the retry budget, and its usage must still be reported.
+tap.test("a stale status counts as a host, but not as load", (t) => {
   const statuses = new core.HostStatuses();
-  statuses.take(buildWord("a"), { now: 0, direct: true });
+  statuses.take(buildStatus("a"), { now: 0, direct: true });
   const later = statuses.sum(4_000);
   t.equal(later.hosts, 1);
   t.same(later.running, {});
@@ -53,13 +53,13 @@
   t.end();
 });
 
-// A host was killed and started again: the counts of its first life stand, and
-// a status of it that was under way comes after a newer one.
-tap.test("each life of a host has a status, the newest of it", (t) => {
+// Guards against lost usage counts after a host is killed and restarted, and
+// against a delayed status that replaces a newer one.
+tap.test("each incarnation of a host keeps its newest status", (t) => {
   const statuses = new core.HostStatuses();
-  statuses.take(buildWord("a", { at: 2_000 }), { now: 0, direct: true });
-  statuses.take(buildWord("a", { at: 1_500 }), { now: 10, direct: true });
-  statuses.take(buildWord("a", { incarnation: "second", at: 3_000 }), {
+  statuses.take(buildStatus("a", { at: 2_000 }), { now: 0, direct: true });
+  statuses.take(buildStatus("a", { at: 1_500 }), { now: 10, direct: true });
+  statuses.take(buildStatus("a", { incarnation: "second", at: 3_000 }), {
     now: 20,
     direct: true,
   });
@@ -71,14 +71,14 @@
   t.end();
 });
 
-// The store is away, and a host that cannot publish passes its followers' statuses
-// on, each second the same ones. Every host's time of day went back by seconds,
-// and requests were counted in the wrong usage windows.
-tap.test("a status that is passed on says nothing of time or load", (t) => {
+// Guards against clocks that are set back by forwarded statuses. While the store
+// is unavailable, a host forwards the same statuses every second; the time of day
+// of every host fell behind, and requests were counted in the wrong usage windows.
+tap.test("a forwarded status affects neither time nor load", (t) => {
   const statuses = new core.HostStatuses();
-  statuses.take(buildWord("a"), { now: 0, direct: true });
-  statuses.take(buildWord("a"), { now: 2_000, direct: false });
-  statuses.take(buildWord("b"), { now: 2_000, direct: false });
+  statuses.take(buildStatus("a"), { now: 0, direct: true });
+  statuses.take(buildStatus("a"), { now: 2_000, direct: false });
+  statuses.take(buildStatus("b"), { now: 2_000, direct: false });
   const sum = statuses.sum(2_500);
   t.same(sum.times, [3_500]);
   t.same(sum.running, { engine: 3 });
@@ -87,24 +87,25 @@
   t.end();
 });
 
-// Guards against requests that are refused while engines are idle: the work of a process that was killed counted beside that of its successor.
-tap.test("the work of an earlier process counts no more", (t) => {
+// Guards against requests that are refused while engines are idle: the load of a
+// killed process was counted in addition to that of its successor.
+tap.test("the load of an earlier process is not counted", (t) => {
   const statuses = new core.HostStatuses();
-  statuses.take(buildWord("a"), { now: 0, direct: true });
+  statuses.take(buildStatus("a"), { now: 0, direct: true });
   const successor = {
     incarnation: "second",
     running: { engine: 1 },
     prompting: {},
   };
-  statuses.take(buildWord("a", successor), { now: 900, direct: true });
+  statuses.take(buildStatus("a", successor), { now: 900, direct: true });
   const sum = statuses.sum(1_000);
   t.same(sum.running, { engine: 1 });
   t.equal(sum.demand.planner.short, 2);
-  t.equal(statuses.list(1_000).length, 2, "what it counted is kept");
+  t.equal(statuses.list(1_000).length, 2, "its usage counts are kept");
   t.end();
 });
 
-tap.test("summaries merge, and lose what is too old", (t) => {
+tap.test("merging adds summaries, and stale load is dropped", (t) => {
   const mark = { fingerprint: "f", server: "s" };
   const one: core.HostsSummary = {
     hosts: 3,
@@ -123,9 +124,9 @@
   t.end();
 });
 
-// A request takes one server at each of three hosts. Each host alone would let
-// it take two more.
-tap.test("a request that took three servers anywhere is refused", (t) => {
+// Guards against a request that crashes one server through each of three hosts:
+// by its own losses alone, each host would let the request crash two more.
+tap.test("a request that crashed three servers is refused", (t) => {
   const suspects = new core.SuspectTable({
     isolateAfter: 2,
     poisonLimit: 3,
@@ -143,10 +144,10 @@
   t.end();
 });
 
-// A lookup that many send is running as three servers are lost for other
-// reasons, and is answered well in between. It was refused from then on: the
-// other hosts went on telling of the losses.
-tap.test("losses before a whole answer do not count again", (t) => {
+// Guards against a harmless request that is refused for good. It ran on servers
+// that failed for other reasons and succeeded in between, but the other hosts
+// kept reporting the earlier losses.
+tap.test("losses before a complete response do not count again", (t) => {
   const suspects = new core.SuspectTable({ isolateAfter: 2, poisonLimit: 3 });
   const marks = ["s1", "s2"].map((server) => ({ fingerprint: "f", server }));
   marks.forEach((mark) => suspects.addForeign(mark, 0));
@@ -156,6 +157,6 @@
   t.notOk(suspects.isSuspect("f"));
   suspects.add(marks[0]);
   suspects.add(marks[1]);
-  t.ok(suspects.isPoison("f"), "lost again since");
+  t.ok(suspects.isPoison("f"), "lost again after the response");
   t.end();
 });
