--- a/packages/core/domain_orders.ts
+++ b/packages/core/domain_orders.ts
@@ -1,77 +1,79 @@
 /**
- * How many backend servers of a service each failure domain should have, and
- * of which kind. Reclaimable servers carry the load where they can be had: they
- * cost a fraction, and a reclaim takes those of one failure domain only, whose
- * work the others take over until more have started.
+ * Plans how many spot and how many ordinary (on-demand) backend servers of a
+ * service each failure domain should have. Spot servers carry the load where
+ * they are available, because they cost a fraction of the price. A reclaim takes
+ * the spot servers of one failure domain only, and the other failure domains
+ * serve its load until replacements have started.
  */
 import * as domainSpread from "./domain_spread.ts";
 import type * as routes from "./routes.ts";
 import * as serverNeeds from "./server_needs.ts";
 
-/** Time for which no reclaimable servers are asked for where there were none, in ms. */
-const UNAVAILABLE_MS = 3_000;
+/** Time in ms for which no spot servers are ordered in a failure domain that had none available. */
+const SPOT_RETRY_DELAY_MS = 3_000;
 
-/** Time for which the number of servers stands still before any is sent away, in ms: some heartbeats apart, they register within it. */
-const SETTLE_MS = 2_000;
-/** Time beyond its start for a server to be listed, in ms. */
-const STARTING_MARGIN_MS = 2_000;
+/** Time in ms for which the number of ordinary servers must be unchanged before any server is removed: servers that start together register within it, some heartbeats apart. */
+const STABLE_COUNT_MS = 2_000;
+/** Time in ms that a server needs to be listed after its boot time. */
+const REGISTRATION_MARGIN_MS = 2_000;
 
-/** Servers of a service in one failure domain. */
+/** Number of ready servers of a service in one failure domain, by kind. */
 export interface DomainServers {
   readonly failureDomain: string;
   readonly ordinary: number;
   readonly spot: number;
 }
 
-/** What is ordered in one failure domain; a kind that is undefined stays as it is. */
+/** Server counts to order in one failure domain; an undefined count leaves that kind unchanged. */
 export interface DomainCounts {
   readonly failureDomain: string;
   readonly ordinary: number | undefined;
   readonly spot: number | undefined;
 }
 
-/** What is known of a service. */
+/** Load, limits and ready servers of a service. */
 export interface ServiceDemand extends serverNeeds.ServiceLoad {
   readonly bounds: routes.ScalingBounds;
   /** Servers that are ready, by failure domain. */
   readonly servers: readonly DomainServers[];
 }
 
-interface Ordered {
+interface LastOrder {
   readonly count: number;
   readonly at: number;
 }
 
-type Kind = "ordinary" | "spot";
+type ServerKind = "ordinary" | "spot";
 
-/** One look at a service. */
-interface Round extends ServiceDemand, serverNeeds.Needs {
+/** Input of one planning round. */
+interface PlanningRound extends ServiceDemand, serverNeeds.NeededCounts {
   readonly now: number;
 }
 
-/** Plans the servers of one service, round by round. */
+/** Plans the servers of one service in periodic rounds. */
 export class DomainPlanner {
   readonly #needs = new serverNeeds.ServerNeeds();
-  /** Servers that there were when their number first stood still. */
-  #atFirst = 0;
-  /** Ordinary servers in the last round, -1 before the first, and since when there are as many. */
-  #ready = -1;
-  #readySince = 0;
-  readonly #unavailable = new Map<string, number>();
-  /** Last order by failure domain and kind, and since when it is that. */
-  readonly #ordered = new Map<string, Ordered>();
+  /** Number of servers when the list first settled; 0 until then. */
+  #initial = 0;
+  /** Number of ordinary servers in the last round, -1 before the first round, and the time of its last change. */
+  #ordinaryCount = -1;
+  #ordinaryCountSince = 0;
+  readonly #spotUnavailableAt = new Map<string, number>();
+  /** Last ordered count by failure domain and kind, and the time at which it last changed. */
+  readonly #lastOrders = new Map<string, LastOrder>();
 
-  /** Records that a failure domain has no reclaimable servers now. */
+  /** Records that no spot servers are available in a failure domain. */
   recordUnavailable(failureDomain: string, now: number): void {
-    this.#unavailable.set(failureDomain, now);
-    // What was refused does not start.
-    this.#ordered.delete(`${failureDomain}/spot`);
+    this.#spotUnavailableAt.set(failureDomain, now);
+    // The refused servers will not start, so they are not expected any more.
+    this.#lastOrders.delete(`${failureDomain}/spot`);
   }
 
   /**
-   * Records that the answer to an order was lost. What it asked for may still
-   * start, its time counted from now: taken for what never comes, it was called
-   * off as reclaimable servers were tried again, and the burst had neither.
+   * Records that the response to an order was lost. The ordered servers may still
+   * start, so their start time counts from now. When they were not expected any
+   * more, the order was cancelled as soon as spot servers were ordered again, and
+   * a burst had servers of neither kind.
    */
   recordUnanswered(
     { failureDomain, spot }: {
@@ -81,26 +83,29 @@
     now: number,
   ): void {
     const key = `${failureDomain}/${spot ? "spot" : "ordinary"}`;
-    const ordered = this.#ordered.get(key);
-    if (ordered !== undefined) {
-      this.#ordered.set(key, { ...ordered, at: now });
+    const lastOrder = this.#lastOrders.get(key);
+    if (lastOrder !== undefined) {
+      this.#lastOrders.set(key, { ...lastOrder, at: now });
     }
   }
 
-  /** Plans the next orders; none is sent away before it is known what is there. */
+  /** Plans the next orders; removes no server before the server list has settled. */
   plan(service: ServiceDemand, now: number): DomainCounts[] {
     if (!this.#hasSettled(service.servers, now)) {
-      return this.#planFirst(service, now);
+      return this.#planBeforeSettled(service, now);
     }
-    const round: Round = {
+    const round: PlanningRound = {
       ...service,
       now,
-      ...this.#needs.compute(service, { now, atFirst: this.#atFirst }),
+      ...this.#needs.compute(service, {
+        now,
+        initialCount: this.#initial,
+      }),
     };
     const spot = this.#planSpot(round);
     const ordinary = this.#planOrdinary(round, spot);
     return service.servers.map(({ failureDomain }) =>
-      this.#recordOrdered({
+      this.#recordOrder({
         failureDomain,
         spot: spot.get(failureDomain),
         ordinary: ordinary.get(failureDomain) ?? 0,
@@ -109,11 +114,14 @@
   }
 
   /**
-   * Orders reclaimable servers for the ordinary ones that are listed so far: all
-   * of those cost their full price until the others have started, so no second is
-   * lost until the list is known to be whole.
+   * Plans spot replacements for the ordinary servers listed so far. Ordinary
+   * servers cost their full price until the replacements have started, so this
+   * does not wait for the server list to settle.
    */
-  #planFirst({ servers, bounds }: ServiceDemand, now: number): DomainCounts[] {
+  #planBeforeSettled(
+    { servers, bounds }: ServiceDemand,
+    now: number,
+  ): DomainCounts[] {
     return servers
       .filter((domain) =>
         domain.ordinary > 0 && this.#hasSpot(domain, { bounds, now })
@@ -126,98 +134,101 @@
   }
 
   /**
-   * Plans reclaimable servers for all that is wanted, over the failure domains
-   * where they are to be had. What one cannot have comes from the others, and
-   * what those have gained is sent away only once there are more than wanted:
-   * servers that may come back to the first are not there yet.
+   * Plans spot servers for the preferred count, spread over the failure domains
+   * where they are available. Available failure domains make up for unavailable
+   * ones. The extra servers are removed only once there are more ready spot
+   * servers than preferred, because a failure domain that becomes available again
+   * has no ready servers yet.
    */
-  #planSpot(round: Round): ReadonlyMap<string, number> {
-    const { servers, bounds, wanted } = round;
-    const open = servers.filter((domain) => this.#hasSpot(domain, round));
-    const shut = servers.filter((domain) => !open.includes(domain));
-    const ranked = open.toSorted((a, b) =>
+  #planSpot(round: PlanningRound): ReadonlyMap<string, number> {
+    const { servers, bounds, preferred } = round;
+    const available = servers.filter((domain) => this.#hasSpot(domain, round));
+    const unavailable = servers.filter((domain) => !available.includes(domain));
+    const ranked = available.toSorted((a, b) =>
       getPrice(bounds, a.failureDomain) - getPrice(bounds, b.failureDomain)
     );
     const shares = domainSpread.spreadEvenly(
-      wanted - sumOf(shut, ({ spot }) => spot),
+      preferred - sumBy(unavailable, ({ spot }) => spot),
       {
         domains: ranked.map((domain) => ({
           failureDomain: domain.failureDomain,
-          least: Math.max(0, bounds.minServers - domain.ordinary),
-          most: this.#countRoom(domain, round),
+          min: Math.max(0, bounds.minServers - domain.ordinary),
+          max: this.#countSpotRoom(domain, round),
         })),
       },
     );
-    let surplus = sumOf(servers, ({ spot }) => spot) - wanted;
+    let surplus = sumBy(servers, ({ spot }) => spot) - preferred;
     return new Map(
       ranked.toReversed().map((domain) => {
         const { failureDomain } = domain;
         const share = shares.get(failureDomain) ?? 0;
-        const there = this.#countComing(domain, { kind: "spot", round });
-        const dropped = Math.min(
+        const expected = this.#countExpected(domain, { kind: "spot", round });
+        const removed = Math.min(
           Math.max(0, surplus),
-          Math.max(0, there - share),
+          Math.max(0, expected - share),
         );
-        surplus -= dropped;
-        const most = this.#countRoom(domain, round);
+        surplus -= removed;
+        const room = this.#countSpotRoom(domain, round);
         return [
           failureDomain,
-          Math.min(most, Math.max(share, there - dropped)),
+          Math.min(room, Math.max(share, expected - removed)),
         ];
       }),
     );
   }
 
-  /** Counts the reclaimable servers that a failure domain has room for beside the ordinary ones. */
-  #countRoom(domain: DomainServers, round: Round): number {
-    const ordinary = this.#countComing(domain, { kind: "ordinary", round });
+  /** Counts the spot servers that fit into a failure domain besides its ordinary servers. */
+  #countSpotRoom(domain: DomainServers, round: PlanningRound): number {
+    const ordinary = this.#countExpected(domain, { kind: "ordinary", round });
     return Math.max(0, round.bounds.maxServers - ordinary);
   }
 
   /**
-   * Plans ordinary servers. Those that are there stay until reclaimable ones
-   * have started in their place; new ones are ordered only where no more of
-   * the others are to be had and answers would fail, or to keep the lower
-   * bound. Those on their way are not called off: a service whose orders swing
-   * between both kinds has none.
+   * Plans ordinary servers. Existing ordinary servers stay until spot servers
+   * have replaced them. New ordinary servers are ordered only if no more spot
+   * servers are available and requests would fail, or to meet the configured
+   * minimum. Orders for servers that are still starting are not cancelled: when
+   * orders alternated between both kinds, no server ever became ready.
    */
   #planOrdinary(
-    round: Round,
+    round: PlanningRound,
     spot: ReadonlyMap<string, number>,
   ): ReadonlyMap<string, number> {
-    const { servers, bounds, enough, least } = round;
-    const spotThere = sumOf(servers, (domain) => domain.spot);
-    const spotPlanned = sumOf(
+    const { servers, bounds, retained, required } = round;
+    const spotReady = sumBy(servers, (domain) => domain.spot);
+    const spotPlanned = sumBy(
       servers,
-      ({ failureDomain, spot: there }) => spot.get(failureDomain) ?? there,
+      ({ failureDomain, spot: ready }) => spot.get(failureDomain) ?? ready,
     );
-    const missing = spotPlanned < least ? least - spotThere : 0;
-    const freed = this.#planSwaps(round, spot);
-    const there = servers.map((domain) => {
-      const most = this.#countComing(domain, { kind: "ordinary", round }) -
-        (freed.get(domain.failureDomain) ?? 0);
+    const missing = spotPlanned < required ? required - spotReady : 0;
+    const replaced = this.#planReplacements(round, spot);
+    const limits = servers.map((domain) => {
+      const current = this.#countExpected(domain, { kind: "ordinary", round }) -
+        (replaced.get(domain.failureDomain) ?? 0);
       const lacking = Math.max(0, bounds.minServers - domain.spot);
       return {
         failureDomain: domain.failureDomain,
-        // Where reclaimable ones are to be had, these keep the lower bound.
-        least: this.#hasSpot(domain, round) ? Math.min(most, lacking) : lacking,
-        most,
+        // Available spot servers meet the configured minimum instead.
+        min: this.#hasSpot(domain, round)
+          ? Math.min(current, lacking)
+          : lacking,
+        max: current,
       };
     }).toSorted((a, b) =>
       getPrice(bounds, a.failureDomain) - getPrice(bounds, b.failureDomain)
     );
-    const kept = domainSpread.spreadEvenly(enough - spotThere, {
-      domains: there,
+    const kept = domainSpread.spreadEvenly(retained - spotReady, {
+      domains: limits,
     });
     const keptCount = [...kept.values()].reduce((sum, count) => sum + count, 0);
     if (missing <= keptCount) return kept;
     return domainSpread.spreadEvenly(missing, {
-      domains: there.map(({ failureDomain }) => ({
+      domains: limits.map(({ failureDomain }) => ({
         failureDomain,
-        least: kept.get(failureDomain) ?? 0,
-        most: bounds.maxServers -
+        min: kept.get(failureDomain) ?? 0,
+        max: bounds.maxServers -
           Math.max(
-            countSpot(round, failureDomain),
+            countReadySpot(round, failureDomain),
             spot.get(failureDomain) ?? 0,
           ),
       })),
@@ -225,20 +236,21 @@
   }
 
   /**
-   * Plans which ordinary servers give their places to reclaimable ones. A failure
-   * domain that is full of ordinary servers has no room for others: without this
-   * it would keep them for good. No more go than the load of the moment can miss.
+   * Plans the removal of ordinary servers to make room for spot servers: one in
+   * each failure domain that is full. Without this, a failure domain full of
+   * ordinary servers would have no room for spot servers and keep the ordinary
+   * ones for good. No server is removed that the current load requires.
    */
-  #planSwaps(
-    round: Round,
+  #planReplacements(
+    round: PlanningRound,
     spot: ReadonlyMap<string, number>,
   ): ReadonlyMap<string, number> {
-    const { servers, wanted, least } = round;
-    const there = sumOf(servers, (domain) => domain.ordinary + domain.spot);
+    const { servers, preferred, required } = round;
+    const ready = sumBy(servers, (domain) => domain.ordinary + domain.spot);
     const planned = [...spot.values()].reduce((sum, count) => sum + count, 0);
-    let left = Math.min(there - least, wanted - planned);
+    let left = Math.min(ready - required, preferred - planned);
     const full = servers.filter((domain) =>
-      this.#hasSpot(domain, round) && this.#countRoom(domain, round) === 0
+      this.#hasSpot(domain, round) && this.#countSpotRoom(domain, round) === 0
     );
     return new Map(full.flatMap(({ failureDomain }) => {
       if (left <= 0) return [];
@@ -249,68 +261,72 @@
 
   #hasSpot(
     { failureDomain }: DomainServers,
-    { bounds, now }: Pick<Round, "bounds" | "now">,
+    { bounds, now }: Pick<PlanningRound, "bounds" | "now">,
   ): boolean {
-    const refusedAt = this.#unavailable.get(failureDomain) ?? -Infinity;
-    return bounds.spotPrice > 0 && now - refusedAt > UNAVAILABLE_MS;
+    const refusedAt = this.#spotUnavailableAt.get(failureDomain) ?? -Infinity;
+    return bounds.spotPrice > 0 && now - refusedAt > SPOT_RETRY_DELAY_MS;
   }
 
-  /** Counts the servers of a kind that are there or about to start. */
-  #countComing(
+  /** Counts the servers of a kind that are ready or expected to start. */
+  #countExpected(
     domain: DomainServers,
     { kind, round: { bounds, now } }: {
-      readonly kind: Kind;
-      readonly round: Round;
+      readonly kind: ServerKind;
+      readonly round: PlanningRound;
     },
   ): number {
-    const ordered = this.#ordered.get(`${domain.failureDomain}/${kind}`);
-    const starts = ordered !== undefined &&
-      now - ordered.at < bounds.bootMs + STARTING_MARGIN_MS;
-    return Math.max(domain[kind], starts ? ordered.count : 0);
+    const lastOrder = this.#lastOrders.get(`${domain.failureDomain}/${kind}`);
+    const isStarting = lastOrder !== undefined &&
+      now - lastOrder.at < bounds.bootMs + REGISTRATION_MARGIN_MS;
+    return Math.max(domain[kind], isStarting ? lastOrder.count : 0);
   }
 
-  #recordOrdered(counts: DomainCounts, now: number): DomainCounts {
+  #recordOrder(counts: DomainCounts, now: number): DomainCounts {
     (["ordinary", "spot"] as const).forEach((kind) => {
       const key = `${counts.failureDomain}/${kind}`;
       const count = counts[kind] ?? 0;
-      if (this.#ordered.get(key)?.count === count) return;
-      this.#ordered.set(key, { count, at: now });
+      if (this.#lastOrders.get(key)?.count === count) return;
+      this.#lastOrders.set(key, { count, at: now });
     });
     return counts;
   }
 
   /**
-   * Whether the number of servers has stood still for a moment. When all hosts
-   * and servers start at once the list fills while the first plans are made;
-   * one made for an empty list sent every server away as traffic began.
+   * Returns whether the number of ordinary servers has been stable. When all hosts
+   * and servers start at once, the server list fills during the first rounds. A
+   * plan made from an empty list removed every server just as traffic began.
    */
   #hasSettled(servers: readonly DomainServers[], now: number): boolean {
-    if (this.#atFirst > 0) return true;
-    // Reclaimable ones are ordered meanwhile, and come late.
-    const ordinary = sumOf(servers, (domain) => domain.ordinary);
-    const spot = sumOf(servers, (domain) => domain.spot);
-    if (ordinary !== this.#ready) {
-      this.#ready = ordinary;
-      this.#readySince = now;
+    if (this.#initial > 0) return true;
+    // Only ordinary servers count, because spot servers are ordered before the
+    // list has settled and start later.
+    const ordinary = sumBy(servers, (domain) => domain.ordinary);
+    const spot = sumBy(servers, (domain) => domain.spot);
+    if (ordinary !== this.#ordinaryCount) {
+      this.#ordinaryCount = ordinary;
+      this.#ordinaryCountSince = now;
     }
-    const stands = now - this.#readySince >= SETTLE_MS;
-    if (ordinary + spot > 0 && stands) this.#atFirst = Math.max(ordinary, spot);
-    return this.#atFirst > 0;
+    const stable = now - this.#ordinaryCountSince >= STABLE_COUNT_MS;
+    if (ordinary + spot > 0 && stable) this.#initial = Math.max(ordinary, spot);
+    return this.#initial > 0;
   }
 }
 
-function sumOf(
+function sumBy(
   servers: readonly DomainServers[],
-  read: (domain: DomainServers) => number,
+  measure: (domain: DomainServers) => number,
 ): number {
-  return servers.reduce((sum, domain) => sum + read(domain), 0);
+  return servers.reduce((sum, domain) => sum + measure(domain), 0);
 }
 
-function countSpot({ servers }: Round, failureDomain: string): number {
+function countReadySpot(
+  { servers }: PlanningRound,
+  failureDomain: string,
+): number {
   return servers.find((one) => one.failureDomain === failureDomain)?.spot ?? 0;
 }
 
-/** Price of a server against that of the others of its kind. */
+/** Returns the relative price of servers in a failure domain; 1 by default. */
 function getPrice(bounds: routes.ScalingBounds, failureDomain: string): number {
   return bounds.domainPrices.get(failureDomain) ?? 1;
 }
--- a/packages/core/domain_orders_test.ts
+++ b/packages/core/domain_orders_test.ts
@@ -1,4 +1,4 @@
-/** Orders of servers by failure domain and kind. */
+/** Tests of the planned orders of spot and ordinary servers by failure domain. */
 import * as tapModule from "tap";
 import * as core from "./mod.ts";
 
@@ -32,7 +32,7 @@
   };
 }
 
-/** A planner that knows what is there, at time 0. */
+/** Returns a planner whose server list has settled by time 0. */
 function startPlanner(
   servers: Partial<core.DomainServers>,
 ): core.DomainPlanner {
@@ -42,18 +42,18 @@
   return planner;
 }
 
-/** A burst in which all cheap servers have been reclaimed; at 1,000 ms ordinary ones were ordered, as many as the bounds allow. */
-function startDryBurst(t: tapModule.Test) {
+/** Starts a burst in which no spot servers are available; at 1,000 ms, as many ordinary servers as the limits allow have been ordered. */
+function startBurstWithoutSpot(t: tapModule.Test) {
   const planner = startPlanner({ spot: 1 });
   const servers = { ordinary: 0, spot: 0 };
   planner.plan(buildDemand(900, servers), 0);
   DOMAINS.forEach((domain) => planner.recordUnavailable(domain, 100));
   const ordered = planner.plan(buildDemand(900, servers), 1_000);
-  t.equal(sum(ordered, "ordinary"), 28);
+  t.equal(sumKind(ordered, "ordinary"), 28);
   return { planner, servers };
 }
 
-const sum = (
+const sumKind = (
   counts: readonly core.DomainCounts[],
   kind: "ordinary" | "spot",
 ) => counts.reduce((total, count) => total + (count[kind] ?? 0), 0);
@@ -61,37 +61,37 @@
 const sumBoth = ({ ordinary = 0, spot = 0 }: core.DomainCounts) =>
   ordinary + spot;
 
-// Ordinary servers are sent away before the cheap ones that replace them have
-// started: for some seconds nothing is left to serve.
-tap.test("ordinary servers stay until the cheap ones are there", (t) => {
+// Guards against seconds without any server: ordinary servers were removed before
+// the spot servers that replace them had started.
+tap.test("ordinary servers stay until spot servers are ready", (t) => {
   const planner = startPlanner({ ordinary: 3 });
   const first = planner.plan(buildDemand(60, { ordinary: 3 }), 0);
-  t.equal(sum(first, "spot"), 16, "as many as the bounds leave room for");
-  t.equal(sum(first, "ordinary"), 12);
+  t.equal(sumKind(first, "spot"), 16, "as many as the limits allow");
+  t.equal(sumKind(first, "ordinary"), 12);
   t.ok(first.every((counts) => sumBoth(counts) <= 7));
   const then = planner.plan(buildDemand(60, { ordinary: 3, spot: 3 }), 5_000);
-  t.equal(sum(then, "spot"), 16);
-  t.equal(sum(then, "ordinary"), 0);
+  t.equal(sumKind(then, "spot"), 16);
+  t.equal(sumKind(then, "ordinary"), 0);
   t.end();
 });
 
-// A new holder of the role has seen no demand yet, or none has begun: it must
-// not send the servers away that a burst is about to need.
-tap.test("a planner that has just begun keeps what is there and more", (t) => {
+// Guards against a planner that removes servers just before a burst: a host that
+// has taken over planning has seen no demand yet.
+tap.test("a new planner keeps the running servers and adds some", (t) => {
   const planner = startPlanner({ spot: 3 });
   const idle = planner.plan(buildDemand(0, { spot: 3 }), 0);
-  t.equal(sum(idle, "spot"), 18);
+  t.equal(sumKind(idle, "spot"), 18);
   const low = planner.plan(buildDemand(2, { spot: 3 }), 1_000);
-  t.equal(sum(low, "spot"), 18);
+  t.equal(sumKind(low, "spot"), 18);
   const later = planner.plan(buildDemand(2, { spot: 3 }), 45_000);
-  t.equal(sum(later, "spot"), 4);
+  t.equal(sumKind(later, "spot"), 4);
   t.end();
 });
 
-// A failure domain's cheap servers are reclaimed and no more are to be had
-// there for a while. The load must not wait for them, and ordinary ones in their
-// place cost five times as much: the other failure domains have cheap ones.
-tap.test("where no cheap servers are to be had, others have them", (t) => {
+// Guards against load that waits for, or pays for ordinary servers in, a failure
+// domain without spot servers. Ordinary servers cost about five times as much, and
+// the other failure domains still have spot servers available.
+tap.test("other failure domains replace unavailable spot servers", (t) => {
   const planner = startPlanner({ spot: 3 });
   const without = buildDemand(60, { spot: 3 });
   const reclaimed = {
@@ -104,14 +104,18 @@
   const counts = planner.plan(reclaimed, 500);
   const own = counts.find(({ failureDomain }) => failureDomain === "b");
   t.same(own, { failureDomain: "b", spot: undefined, ordinary: 1 });
-  t.equal(sum(counts, "spot"), 18);
-  t.equal(sum(counts, "ordinary"), 1, "the lower bound of the one without");
+  t.equal(sumKind(counts, "spot"), 18);
+  t.equal(
+    sumKind(counts, "ordinary"),
+    1,
+    "the minimum of the failure domain without spot servers",
+  );
   t.end();
 });
 
-// The cheap servers of the failure domain may be there again, and are asked
-// for. Those that the others gained in between must not be sent away before.
-tap.test("servers elsewhere stay until the first are back", (t) => {
+// Guards against a loss of capacity when spot servers are ordered again after a
+// reclaim: the replacements elsewhere must not be removed before they are ready.
+tap.test("replacements elsewhere stay until spot servers return", (t) => {
   const planner = startPlanner({ spot: 3 });
   const spread = buildDemand(60, { spot: 6 });
   const reclaimed = {
@@ -127,20 +131,20 @@
   const counts = planner.plan(reclaimed, 9_000);
   const spotOf = (name: string) =>
     counts.find(({ failureDomain }) => failureDomain === name)?.spot ?? 0;
-  t.ok(spotOf("b") >= 3, "asked for again");
+  t.ok(spotOf("b") >= 3, "ordered again");
   ["a", "c", "d"].forEach((name) => t.equal(spotOf(name), 6));
   t.end();
 });
 
-// The same, with servers that were ordered elsewhere still starting as the first
-// failure domain is asked again. Their orders were taken back, and every three
-// seconds placed again: none of them ever started.
-tap.test("servers that start elsewhere are not called off", (t) => {
+// Guards against replacements elsewhere that never start: each time spot servers
+// were ordered again in the reclaimed failure domain, the orders of replacements
+// that were still starting were cancelled, and three seconds later placed again.
+tap.test("servers that start elsewhere are not cancelled", (t) => {
   const planner = startPlanner({ spot: 3 });
-  const there = buildDemand(60, { spot: 3 });
+  const ready = buildDemand(60, { spot: 3 });
   const reclaimed = {
-    ...there,
-    servers: there.servers.map((domain) =>
+    ...ready,
+    servers: ready.servers.map((domain) =>
       domain.failureDomain === "b" ? { ...domain, spot: 0 } : domain
     ),
   };
@@ -149,44 +153,49 @@
   t.same(ordered.map(({ spot }) => spot), [6, undefined, 6, 6]);
   const again = planner.plan(reclaimed, 3_600);
   t.same(again.map(({ spot }) => spot), [6, 4, 6, 6]);
-  t.equal(sum(again, "ordinary"), 1, "on its way for the lower bound");
+  t.equal(
+    sumKind(again, "ordinary"),
+    1,
+    "the one that is starting to meet the minimum",
+  );
   t.end();
 });
 
-// An order for more is refused. What it asked for was taken to be on its way, so
-// the load that it was for had neither cheap servers nor ordinary ones.
-tap.test("servers that were refused are not on their way", (t) => {
+// Guards against load without servers: refused spot servers were still expected
+// to start, so no ordinary servers were ordered in their place.
+tap.test("refused servers are not expected to start", (t) => {
   const planner = startPlanner({ spot: 3 });
   const heavy = buildDemand(150, { spot: 3 });
-  t.equal(sum(planner.plan(heavy, 500), "spot"), 24);
+  t.equal(sumKind(planner.plan(heavy, 500), "spot"), 24);
   DOMAINS.forEach((domain) => planner.recordUnavailable(domain, 600));
   const refused = planner.plan(heavy, 700);
   t.equal(
-    sum(refused, "ordinary"),
+    sumKind(refused, "ordinary"),
     7,
-    "19 at a quarter of their 32 slots, less 12",
+    "150 requests need 19 servers at a quarter of 32 slots; 12 are ready",
   );
   t.end();
 });
 
-// Cheap servers are nowhere to be had. Ordinary ones are ordered for answers
-// that would fail, not for a load that those that are left can bear.
-tap.test("ordinary servers come where there are no cheap ones at all", (t) => {
+// Guards against needless cost while no spot servers are available: ordinary
+// servers are ordered only if requests would fail, not if the rest can carry the load.
+tap.test("ordinary servers are ordered if no spot servers remain", (t) => {
   const planner = startPlanner({ spot: 3 });
   DOMAINS.forEach((domain) => planner.recordUnavailable(domain, 0));
-  const bearable = planner.plan(buildDemand(60, { spot: 2 }), 500);
-  t.equal(sum(bearable, "ordinary"), 0);
+  const light = planner.plan(buildDemand(60, { spot: 2 }), 500);
+  t.equal(sumKind(light, "ordinary"), 0);
   const heavy = planner.plan(buildDemand(150, { spot: 2 }), 1_000);
   t.equal(
-    sum(heavy, "ordinary"),
+    sumKind(heavy, "ordinary"),
     11,
-    "19 at a quarter of their 32 slots, less 8",
+    "150 requests need 19 servers at a quarter of 32 slots; 8 are ready",
   );
   t.end();
 });
 
-// A burst asks for more than the bounds allow: both kinds together keep them.
-tap.test("both kinds together keep the bounds of a failure domain", (t) => {
+// Guards against orders beyond the limits of a failure domain: the limits hold for
+// the sum of both kinds, also in a burst that needs more.
+tap.test("both kinds together stay within a domain's limits", (t) => {
   const planner = startPlanner({ ordinary: 3 });
   [0, 100, 1_000, 9_000].forEach((demand, round) => {
     const counts = planner.plan(
@@ -203,38 +212,39 @@
   t.end();
 });
 
-// Cheap servers are reclaimed in a burst and nowhere to be had; the load asks
-// for as many as a failure domain may have. Each time cheap ones were tried
-// again, the ordinary ones on their way were called off, and none came.
-tap.test("ordinary servers on their way are not called off", (t) => {
-  const { planner, servers } = startDryBurst(t);
-  // Cheap ones may be there again, and are tried.
+// Guards against a burst that never gets servers: no spot servers are available,
+// and each time they were ordered again, the orders of ordinary servers that were
+// still starting were cancelled.
+tap.test("ordinary servers that are starting are not cancelled", (t) => {
+  const { planner, servers } = startBurstWithoutSpot(t);
+  // Spot servers may be available again and are ordered.
   const retried = planner.plan(buildDemand(900, servers), 4_500);
-  t.equal(sum(retried, "ordinary"), 28);
+  t.equal(sumKind(retried, "ordinary"), 28);
   const started = planner.plan(buildDemand(900, { ordinary: 7 }), 8_000);
-  t.equal(sum(started, "ordinary"), 28);
+  t.equal(sumKind(started, "ordinary"), 28);
   t.ok(started.every((counts) => sumBoth(counts) <= 7));
   t.end();
 });
 
-// Guards against orders that swing while the platform carries them out late: as
-// cheap servers were tried again, ordinary ones that were due were called off.
-tap.test("servers whose order has no answer yet are not called off", (t) => {
-  const { planner, servers } = startDryBurst(t);
+// Guards against orders that alternate between both kinds while the platform
+// executes them late: ordering spot servers again cancelled ordinary servers whose
+// order had no response yet.
+tap.test("servers whose order has no response are not cancelled", (t) => {
+  const { planner, servers } = startBurstWithoutSpot(t);
   DOMAINS.forEach((failureDomain) =>
     planner.recordUnanswered({ failureDomain, spot: false }, 3_000)
   );
-  // Later than they would have started, had the order been carried out at once.
+  // By now the servers would have started if the order had been executed at once.
   const retried = planner.plan(buildDemand(900, servers), 7_500);
-  t.equal(sum(retried, "ordinary"), 28);
+  t.equal(sumKind(retried, "ordinary"), 28);
   t.end();
 });
 
-// All machines start at once. The host that wins the role plans while servers
-// are still registering; it must not send those away that it does not see yet.
-// Cheap ones are ordered for those that it sees, since every second in which
-// all are ordinary costs several times as much.
-tap.test("none is sent away before the list of servers has settled", (t) => {
+// Guards against the removal of servers that have not registered yet, when all
+// machines start at once and the planning host sees part of the servers. Spot
+// replacements for the listed servers are ordered even so, because ordinary
+// servers cost several times as much.
+tap.test("no server is removed before the server list settles", (t) => {
   const planner = new core.DomainPlanner();
   t.same(planner.plan(buildDemand(0, {}), 0), []);
   [1, 3, 3].forEach((ordinary, round) => {
@@ -243,46 +253,50 @@
       1_000 * (round + 1),
     );
     t.ok(counts.every((one) => one.ordinary === undefined));
-    t.equal(sum(counts, "spot"), 4 * ordinary);
+    t.equal(sumKind(counts, "spot"), 4 * ordinary);
   });
   const settled = planner.plan(buildDemand(0, { ordinary: 3 }), 4_100);
-  t.equal(sum(settled, "spot"), 16);
-  t.equal(sum(settled, "ordinary"), 12);
+  t.equal(sumKind(settled, "spot"), 16);
+  t.equal(sumKind(settled, "ordinary"), 12);
   t.end();
 });
 
-// Guards against servers that are sent away under a load of long prompts, which leaves most slots empty.
-tap.test("unread prompts are load, however few slots are taken", (t) => {
+// Guards against servers that are removed under a load of long prompts, which
+// leaves most slots empty.
+tap.test("prompts that await prefill count as load", (t) => {
   const planner = startPlanner({ spot: 3 });
-  const there = { spot: 3 };
-  const busy = planner.plan(buildDemand(20, there, { reading: 22 }), 30_000);
-  t.equal(sum(busy, "spot"), 22);
-  const idle = planner.plan(buildDemand(20, there, { reading: 0 }), 60_000);
-  t.equal(sum(idle, "spot"), 4);
+  const ready = { spot: 3 };
+  const busy = planner.plan(buildDemand(20, ready, { reading: 22 }), 30_000);
+  t.equal(sumKind(busy, "spot"), 22);
+  const idle = planner.plan(buildDemand(20, ready, { reading: 0 }), 60_000);
+  t.equal(sumKind(idle, "spot"), 4);
   t.end();
 });
 
-// Guards against ordinary servers that stay for good, since they leave no room for those that would replace them.
-tap.test("ordinary servers that fill a failure domain give way", (t) => {
+// Guards against ordinary servers that stay for good, because they leave no room
+// for the spot servers that would replace them.
+tap.test("ordinary servers that fill a domain are replaced", (t) => {
   const planner = startPlanner({ ordinary: 7 });
   const full = buildDemand(60, { ordinary: 7 });
   const counts = planner.plan(full, 0);
-  t.equal(sum(counts, "ordinary"), 24, "one in each failure domain");
+  t.equal(sumKind(counts, "ordinary"), 24, "one less in each failure domain");
   const room = planner.plan(buildDemand(60, { ordinary: 6 }), 1_000);
-  t.equal(sum(room, "spot"), 4, "in its place");
+  t.equal(sumKind(room, "spot"), 4, "one replacement in each failure domain");
   t.end();
 });
 
-// The same under a load that all of them are needed for.
-tap.test("no ordinary server gives way that the load needs", (t) => {
+// Guards against the removal of ordinary servers that the current load requires,
+// when they fill their failure domains.
+tap.test("ordinary servers that the load requires are kept", (t) => {
   const planner = startPlanner({ ordinary: 7 });
   const counts = planner.plan(buildDemand(900, { ordinary: 7 }), 0);
-  t.equal(sum(counts, "ordinary"), 28);
+  t.equal(sumKind(counts, "ordinary"), 28);
   t.end();
 });
 
-// Guards against an order for less than no server: while a release replaces servers there are more than the bounds allow.
-tap.test("no order is for less than no server", (t) => {
+// Guards against negative counts: while a release replaces servers, there are more
+// servers than the limits allow.
+tap.test("no order has a negative count", (t) => {
   const planner = startPlanner({ ordinary: 9 });
   const counts = planner.plan(buildDemand(60, { ordinary: 9 }), 0);
   t.ok(
@@ -291,11 +305,12 @@
   t.end();
 });
 
-// Guards against a new holder of the role that asks for refused servers again and again until it knows what is there.
-tap.test("what is refused is not asked for at once, nor at first", (t) => {
+// Guards against a new planner that keeps ordering refused spot servers until its
+// server list has settled.
+tap.test("refused spot servers are not ordered again at once", (t) => {
   const planner = new core.DomainPlanner();
-  const asked = planner.plan(buildDemand(60, { ordinary: 3 }), 0);
-  t.equal(sum(asked, "spot"), 12);
+  const ordered = planner.plan(buildDemand(60, { ordinary: 3 }), 0);
+  t.equal(sumKind(ordered, "spot"), 12);
   DOMAINS.forEach((domain) => planner.recordUnavailable(domain, 10));
   t.same(planner.plan(buildDemand(60, { ordinary: 3 }), 20), []);
   t.end();
--- a/packages/core/domain_spread.ts
+++ b/packages/core/domain_spread.ts
@@ -1,36 +1,37 @@
-/** How a number of servers is spread over failure domains. */
+/** Spreads a number of servers over failure domains. */
 
-/** Servers that a failure domain may be given. */
-export interface DomainRoom {
+/** Minimum and maximum number of servers for a failure domain. */
+export interface DomainLimits {
   readonly failureDomain: string;
-  readonly least: number;
-  readonly most: number;
+  readonly min: number;
+  readonly max: number;
 }
 
 /**
- * Gives each failure domain its least, then one at a time to each in its rank.
+ * Gives each failure domain its minimum, then adds one server at a time to each
+ * failure domain below its maximum, in the order of the list.
  *
  * @example
- * spreadEvenly(5, { domains: [{ failureDomain: "a", least: 1, most: 7 }] });
+ * spreadEvenly(5, { domains: [{ failureDomain: "a", min: 1, max: 7 }] });
  */
 export function spreadEvenly(
   total: number,
-  { domains }: { readonly domains: readonly DomainRoom[] },
+  { domains }: { readonly domains: readonly DomainLimits[] },
 ): ReadonlyMap<string, number> {
   const counts = new Map(
-    domains.map(({ failureDomain, least }) => [failureDomain, least]),
+    domains.map(({ failureDomain, min }) => [failureDomain, min]),
   );
-  const sum = domains.reduce((least, domain) => least + domain.least, 0);
-  let left = total - sum;
+  const minimum = domains.reduce((sum, domain) => sum + domain.min, 0);
+  let left = total - minimum;
   while (left > 0) {
-    const open = domains.filter(({ failureDomain, most }) =>
-      (counts.get(failureDomain) ?? 0) < most
+    const available = domains.filter(({ failureDomain, max }) =>
+      (counts.get(failureDomain) ?? 0) < max
     );
-    if (open.length === 0) break;
-    open.slice(0, left).forEach(({ failureDomain }) =>
+    if (available.length === 0) break;
+    available.slice(0, left).forEach(({ failureDomain }) =>
       counts.set(failureDomain, (counts.get(failureDomain) ?? 0) + 1)
     );
-    left -= open.length;
+    left -= available.length;
   }
   return counts;
 }
--- a/packages/core/scaling.ts
+++ b/packages/core/scaling.ts
@@ -1,53 +1,54 @@
 /**
- * The autoscaler: how many backend servers each pool should have. Spot pools
- * carry what they can; ordinary pools keep enough for the upper tiers to get
- * through the loss of every spot server of the failure domain, with the slots
- * that other failure domains lend.
+ * Autoscaler that computes how many backend servers each pool should have. Spot
+ * pools carry as much load as they can. Ordinary (on-demand) pools keep enough
+ * servers for the upper tiers to survive the loss of every spot server of the
+ * failure domain, together with slots borrowed from other failure domains.
  */
 import type * as config from "./config.ts";
 
-/** Load that a server is planned for, as a share of its slots. */
+/** Planned utilisation of a server, as a share of its slots. */
 const TARGET_UTILISATION = 0.7;
 /**
- * Part of the upper tiers' demand that stands on ordinary servers while there
- * are spot servers. Not all of it: spot servers are reclaimed a failure domain
- * at a time, and then the others lend slots.
+ * Share of the upper tiers' demand for which ordinary servers are kept while spot
+ * servers are available. Less than all of it is enough, because spot servers are
+ * reclaimed in one failure domain at a time and the other failure domains then
+ * lend slots.
  */
 const RESERVE_SHARE = 0.4;
-/** The most that was needed within this time is kept, in ms. */
-const SCALE_DOWN_AFTER_MS = 60_000;
-/** Lowest tier (largest number) whose work ordinary servers hold in reserve. */
+/** Period in ms over which the peak need of a pool is kept. */
+const SCALE_DOWN_DELAY_MS = 60_000;
+/** Lowest tier (largest number) whose demand counts towards the reserve of ordinary servers. */
 export const RESERVE_TIER = 2;
 
-/** Demand for a pool, over all hosts of the failure domain. */
+/** Demand for a pool over all hosts of the failure domain. */
 export interface PoolLoad {
   readonly part: config.PoolPart;
   readonly servers: number;
-  /** Requests running and queued. */
+  /** Number of requests running and queued. */
   readonly demand: number;
-  /** The part of it that is of the upper tiers. */
+  /** Number of those requests that belong to the upper tiers. */
   readonly upperDemand: number;
 }
 
-/** How many servers a pool should have. */
+/** Number of servers that a pool should have. */
 export interface DesiredCount {
   readonly pool: string;
   readonly count: number;
 }
 
-/** State that the autoscaler keeps between rounds. */
+/** State that the autoscaler keeps between planning rounds. */
 export interface ScalingState {
-  /** Counts that each pool needed within the last minute. */
+  /** Counts that each pool needed within the last `SCALE_DOWN_DELAY_MS`. */
   readonly recent: ReadonlyMap<string, readonly NeededCount[]>;
 }
 
 interface NeededCount {
   readonly count: number;
-  /** Monotonic ms. */
+  /** Monotonic time in ms. */
   readonly at: number;
 }
 
-/** State before the first round. */
+/** State before the first planning round. */
 export const INITIAL_SCALING: ScalingState = { recent: new Map() };
 
 /**
@@ -60,19 +61,19 @@
   loads: readonly PoolLoad[],
   { state, now }: { readonly state: ScalingState; readonly now: number },
 ): { readonly desired: readonly DesiredCount[]; readonly state: ScalingState } {
-  const groups = new Set(loads.map(getGroupKey));
-  const wanted = [...groups].flatMap((key) =>
-    computeGroup(loads.filter((load) => getGroupKey(load) === key))
+  const groups = new Set(loads.map(getTargetsKey));
+  const needs = [...groups].flatMap((key) =>
+    computeGroup(loads.filter((load) => getTargetsKey(load) === key))
   );
-  const recent = new Map(wanted.map(({ load, count }) => {
+  const recent = new Map(needs.map(({ load, count }) => {
     const { name } = load.part;
     const kept = (state.recent.get(name) ?? [])
-      .filter((needed) => now - needed.at < SCALE_DOWN_AFTER_MS);
+      .filter((needed) => now - needed.at < SCALE_DOWN_DELAY_MS);
     return [name, [...kept, { count, at: now }]];
   }));
-  // Up at once, down to the most that was needed of late: a short lull does
-  // not send servers away that are missed a moment later, and a short peak
-  // does not keep them for ever.
+  // Scales up at once, and down to the peak need of the recent period, so that a
+  // short lull does not remove servers that are needed again a moment later and a
+  // short peak does not keep servers for good.
   const desired = [...recent].map(([pool, needed]) => ({
     pool,
     count: Math.max(...needed.map((one) => one.count)),
@@ -80,7 +81,7 @@
   return { desired, state: { recent } };
 }
 
-function getGroupKey(load: PoolLoad): string {
+function getTargetsKey(load: PoolLoad): string {
   return load.part.targets.toSorted().join(",");
 }
 
@@ -91,27 +92,28 @@
   const upper = sum(loads.map((load) => load.upperDemand));
   const spot = loads.filter((load) => load.part.spot);
   const ordinary = loads.filter((load) => !load.part.spot);
-  // The reserve stands on ordinary servers; the rest prefers spot servers. It
-  // may fill them: when spot servers are reclaimed, lower work gives way there.
-  const usable = spot.some((load) => load.part.maxServers > 0);
-  const reserve = usable ? upper * RESERVE_SHARE : demand;
+  // Ordinary servers carry the reserve, and spot servers are preferred for the
+  // remaining demand. Lower tiers may use the ordinary servers too: they are
+  // preempted there when spot servers are reclaimed.
+  const hasSpot = spot.some((load) => load.part.maxServers > 0);
+  const reserve = hasSpot ? upper * RESERVE_SHARE : demand;
   const ordinaryCounts = spread(ordinary, reserve);
-  const carried = sum(
+  const ordinaryCapacity = sum(
     ordinaryCounts.map(({ load, count }) => count * load.part.slots),
   ) * TARGET_UTILISATION;
-  const rest = Math.max(0, demand - carried);
+  const rest = Math.max(0, demand - ordinaryCapacity);
   const spotCounts = spread(spot, rest);
-  const spotCarried = sum(
+  const spotCapacity = sum(
     spotCounts.map(({ load, count }) => count * load.part.slots),
   ) * TARGET_UTILISATION;
-  const missing = Math.max(0, rest - spotCarried);
-  const more = missing > 0
+  const missing = Math.max(0, rest - spotCapacity);
+  const allOrdinary = missing > 0
     ? spread(ordinary, reserve + missing)
     : ordinaryCounts;
-  return [...more, ...spotCounts];
+  return [...allOrdinary, ...spotCounts];
 }
 
-/** Servers for a demand, the cheapest pool first, within each pool's bounds. */
+/** Spreads a demand over pools, cheapest slot first, within the server limits of each pool. */
 function spread(
   loads: readonly PoolLoad[],
   demand: number,
@@ -119,13 +121,13 @@
   let left = demand;
   return loads.toSorted((a, b) => getSlotCost(a) - getSlotCost(b)).map(
     (load) => {
-      const each = load.part.slots * TARGET_UTILISATION;
-      const needed = Math.ceil(Math.max(0, left) / each);
+      const serverCapacity = load.part.slots * TARGET_UTILISATION;
+      const needed = Math.ceil(Math.max(0, left) / serverCapacity);
       const count = Math.min(
         load.part.maxServers,
         Math.max(load.part.minServers, needed),
       );
-      left -= count * each;
+      left -= count * serverCapacity;
       return { load, count };
     },
   );
--- a/packages/core/server_needs.ts
+++ b/packages/core/server_needs.ts
@@ -1,102 +1,111 @@
 /**
- * How many servers the load of a service needs, by the most that it needed of
- * late. A load is what takes the servers' time: requests in their slots, and
- * prompts that wait to be read while slots stand empty.
+ * Computes how many servers a service needs, as the peak need of a recent period.
+ * Both the requests in slots and the prompts that await prefill count as load,
+ * because prompts can queue while slots are empty.
  */
 
-/** What a server is planned for: a share of its slots, and requests with unread prompts. */
+/** Load that one server is planned for: a share of its slots, and a number of requests whose prompts await prefill. */
 interface PlannedLoad {
   readonly utilisation: number;
   readonly reading: number;
 }
 
 /**
- * Load of a reclaimable server. Prompts of some and tokens of others share its
- * time, so tokens come late long before the slots are full; one that reads some
- * six tenths of the time has one request with an unread prompt.
+ * Planned load of a spot server. Prefill and decode share the time of a server,
+ * so tokens are late long before all slots are in use. A server that spends about
+ * 60% of its time on prefill has one request that awaits prefill on average.
  */
 const SPOT_LOAD: PlannedLoad = { utilisation: 0.2, reading: 1 };
-/** Load of an ordinary server where no reclaimable ones are to be had: their price is held for answers that would fail, not for those that would be slow. */
+/** Planned load of an ordinary server while no spot servers are available. It is higher, because ordinary servers are bought to prevent failed requests, not slow ones. */
 const ORDINARY_LOAD: PlannedLoad = { utilisation: 0.25, reading: 2 };
-/** The most that was needed within this time is kept, in ms: a burst that comes back within it finds its servers. */
-const KEEP_MS = 20_000;
-/** The same for ordinary servers, in ms: a start and some rounds. */
-const KEEP_ORDINARY_MS = 6_000;
+/** Period in ms over which the peak need is kept, so that a burst that recurs within it finds its servers. */
+const PEAK_WINDOW_MS = 20_000;
+/** Period in ms over which the peak need for ordinary servers is kept: the time to start one and some planning rounds. */
+const ORDINARY_PEAK_WINDOW_MS = 6_000;
 /**
- * Servers at the beginning for each one that was there: the demand of a burst
- * is not known before it comes, and a server takes some seconds to start.
+ * Servers to plan at first per server that was already running. The demand of a
+ * burst is unknown before it arrives, and a server takes some seconds to start.
  */
-const FIRST_FACTOR = 1.5;
+const STARTUP_FACTOR = 1.5;
 
-/** What all hosts ask of a service. */
+/** Load of a service over all hosts. */
 export interface ServiceLoad {
-  /** Slots of a server. */
+  /** Slots per server. */
   readonly slots: number;
-  /** Requests running and queued. */
+  /** Number of requests running and queued. */
   readonly demand: number;
-  /** Those of them whose prompts are not read yet, on average. */
+  /** Average number of those requests whose prompts await prefill. */
   readonly reading: number;
 }
 
-/** Servers that a service needs. */
-export interface Needs {
-  /** Servers that are wanted while reclaimable ones are to be had. */
-  readonly wanted: number;
-  /** Servers for which ordinary ones that are there stay. */
-  readonly enough: number;
-  /** Servers without which answers would fail. */
-  readonly least: number;
+/** Number of servers that a service needs. */
+export interface NeededCounts {
+  /** Number of servers to run while spot servers are available. */
+  readonly preferred: number;
+  /** Number of servers up to which existing ordinary servers are kept. */
+  readonly retained: number;
+  /** Number of servers below which requests would fail. */
+  readonly required: number;
 }
 
-interface Needed {
+interface NeedSample {
   readonly at: number;
-  /** Servers for the load of that moment, if they are all of a kind. */
+  /** Number of servers for the load at that time if all are spot servers. */
   readonly spot: number;
+  /** Number of servers for the load at that time if all are ordinary servers. */
   readonly ordinary: number;
 }
 
-/** Keeps what one service needed of late. */
+/** Tracks how many servers one service needed recently. */
 export class ServerNeeds {
-  #needed: readonly Needed[] = [];
-  #firstAt: number | undefined;
+  #samples: readonly NeedSample[] = [];
+  #firstLoadAt: number | undefined;
 
   /**
-   * Computes what is needed now. `atFirst` servers were there at the beginning:
-   * who has just begun to plan does not know what was needed before, so it keeps
-   * those, and some more.
+   * Computes how many servers are needed now. `initialCount` is the number of
+   * servers that ran when planning began. A new planner does not know the earlier
+   * need, so at first it keeps those servers and adds some.
    */
   compute(
     load: ServiceLoad,
-    { now, atFirst }: { readonly now: number; readonly atFirst: number },
-  ): Needs {
-    if (load.demand > 0) this.#firstAt ??= now;
-    const begun = now - (this.#firstAt ?? now) < KEEP_MS;
-    this.#needed = [
-      ...this.#needed.filter((needed) => now - needed.at < KEEP_MS),
+    { now, initialCount }: {
+      readonly now: number;
+      readonly initialCount: number;
+    },
+  ): NeededCounts {
+    if (load.demand > 0) this.#firstLoadAt ??= now;
+    const isStarting = now - (this.#firstLoadAt ?? now) < PEAK_WINDOW_MS;
+    this.#samples = [
+      ...this.#samples.filter((sample) => now - sample.at < PEAK_WINDOW_MS),
       {
         at: now,
         spot: countServers(load, SPOT_LOAD),
         ordinary: countServers(load, ORDINARY_LOAD),
       },
     ];
-    const recent = this.#needed.filter(({ at }) => now - at < KEEP_ORDINARY_MS);
-    const kept = begun ? atFirst : 0;
-    const spot = Math.max(...this.#needed.map((needed) => needed.spot));
-    const least = Math.max(...recent.map((needed) => needed.ordinary));
+    const recent = this.#samples.filter(({ at }) =>
+      now - at < ORDINARY_PEAK_WINDOW_MS
+    );
+    const initial = isStarting ? initialCount : 0;
+    const spot = Math.max(...this.#samples.map((sample) => sample.spot));
+    const required = Math.max(...recent.map((sample) => sample.ordinary));
     return {
-      wanted: Math.max(spot, Math.ceil(FIRST_FACTOR * kept)),
-      enough: Math.max(least, kept),
-      least,
+      preferred: Math.max(spot, Math.ceil(STARTUP_FACTOR * initial)),
+      retained: Math.max(required, initial),
+      required,
     };
   }
 }
 
-/** Counts the servers that carry a load. */
+/** Computes how many servers carry a load if each is planned for `perServer`. */
 function countServers(
   { demand, slots, reading }: ServiceLoad,
-  load: PlannedLoad,
+  perServer: PlannedLoad,
 ): number {
   return Math.ceil(
-    Math.max(demand / slots / load.utilisation, reading / load.reading),
+    Math.max(
+      demand / slots / perServer.utilisation,
+      reading / perServer.reading,
+    ),
   );
 }
