--- a/packages/core/billing.ts
+++ b/packages/core/billing.ts
@@ -1,49 +1,50 @@
 /**
- * Usage windows. Each host numbers its batches of usage; the collector counts
- * a batch once, by a vector of the last number counted from each source. The
- * vector is stored with each fixed window, so a successor goes on exactly
- * where the last fixed window ended, and what arrives late goes into the next
- * window as an adjustment that names the window it belongs to.
+ * Exactly-once accounting of usage in billing windows. Each host numbers its
+ * batches of usage. The collector counts each batch once, by a vector of the last
+ * sequence number counted from each source. The vector is stored with each final
+ * window, so that after a failover the next collector continues where the last
+ * final window ended. Usage that arrives late is added to the next window as an
+ * adjustment that names the window it belongs to.
  */
 
-/** What is billed, and what is only measured. */
+/** Usage figures of a window: the billed ones and `wastedTokens`, which is only measured. */
 export interface Figures {
   readonly requests: number;
   readonly promptTokens: number;
   readonly outputTokens: number;
-  /** Tokens generated for nobody: cancelled, retried, preempted; not billed. */
+  /** Tokens of cancelled, retried or preempted generations that reached no client; not billed. */
   readonly wastedTokens: number;
 }
 
-/** Figures by `customer|class|target`. */
+/** Usage figures by `customer|class|target`. */
 export type FigureTable = Readonly<Record<string, Figures>>;
 
-/** Usage of one host in one window since its batch before. */
+/** Usage of one host in one window since its previous batch. */
 export interface UsageBatch {
-  /** Host and incarnation. */
+  /** Host and incarnation that counted the usage. */
   readonly source: string;
-  /** Counts up from 1 without gaps. */
+  /** Sequence number; increases from 1 without gaps. */
   readonly sequence: number;
   readonly window: number;
   readonly figures: FigureTable;
 }
 
-/** Last batch counted from each source. */
+/** Sequence number of the last batch counted, by source. */
 export type SequenceVector = Readonly<Record<string, number>>;
 
-/** Usage that came too late for its own window. */
+/** Usage that arrived too late for its stored window. */
 export interface Adjustment {
   readonly window: number;
   readonly figures: FigureTable;
 }
 
-/** One window's figures, fixed in the store before they are sent. */
+/** Final figures of a window, written to the store before they are reported. */
 export interface FixedWindow {
   readonly failureDomain: string;
   readonly window: number;
   readonly figures: FigureTable;
   readonly adjustments: readonly Adjustment[];
-  /** Batches counted up to and including this window. */
+  /** Sequence numbers of the batches counted up to and including this window. */
   readonly counted: SequenceVector;
 }
 
@@ -55,7 +56,7 @@
 };
 
 /**
- * Adds two tables of figures.
+ * Adds two tables of usage figures.
  *
  * @example
  * addFigures({}, table); // equal to table
@@ -74,11 +75,11 @@
   return sum;
 }
 
-/** Usage of one host that is not yet in a fixed window. */
+/** Usage of one host that is not yet counted in a final window. */
 export class UsageLedger {
   readonly #source: string;
   #sequence = 0;
-  #open = new Map<number, FigureTable>();
+  #openWindows = new Map<number, FigureTable>();
   #batches: UsageBatch[] = [];
 
   constructor(source: string) {
@@ -87,13 +88,16 @@
 
   /** Records usage in a window. */
   record(window: number, entry: { key: string; figures: Figures }): void {
-    const table = this.#open.get(window) ?? {};
-    this.#open.set(window, addFigures(table, { [entry.key]: entry.figures }));
+    const table = this.#openWindows.get(window) ?? {};
+    this.#openWindows.set(
+      window,
+      addFigures(table, { [entry.key]: entry.figures }),
+    );
   }
 
-  /** Closes what is open into batches and lists all that are unacknowledged. */
+  /** Puts the open windows into new batches and lists all unacknowledged batches. */
   listBatches(): readonly UsageBatch[] {
-    [...this.#open].forEach(([window, figures]) => {
+    [...this.#openWindows].forEach(([window, figures]) => {
       this.#sequence += 1;
       this.#batches.push({
         source: this.#source,
@@ -102,28 +106,28 @@
         figures,
       });
     });
-    this.#open = new Map();
+    this.#openWindows = new Map();
     return this.#batches;
   }
 
-  /** Forgets the batches that a fixed window has counted. */
+  /** Drops the batches that a final window has counted. */
   acknowledge(counted: SequenceVector): void {
     const last = counted[this.#source] ?? 0;
     this.#batches = this.#batches.filter((batch) => batch.sequence > last);
   }
 
-  /** Whether everything is in a fixed window. */
+  /** Returns whether all usage is counted in a final window. */
   isSettled(): boolean {
-    return this.#open.size === 0 && this.#batches.length === 0;
+    return this.#openWindows.size === 0 && this.#batches.length === 0;
   }
 }
 
-/** Batches at the host that reports for a failure domain, or at a replica. */
+/** Batches received by the host that reports usage for a failure domain, or by a replica of it. */
 export class UsageCollector {
   readonly #batches = new Map<string, Map<number, UsageBatch>>();
   #counted: SequenceVector = {};
 
-  /** Takes over the vector of a fixed window; an older one changes nothing. */
+  /** Merges the vector of a final window and drops the batches it covers; an older vector has no effect. */
   setCounted(counted: SequenceVector): void {
     const merged: Record<string, number> = { ...this.#counted };
     Object.entries(counted).forEach(([source, sequence]) => {
@@ -142,64 +146,71 @@
     return this.#counted;
   }
 
-  /** Adds batches; one that came before changes nothing. */
+  /** Adds batches; a duplicate batch has no effect. */
   add(batches: readonly UsageBatch[]): void {
     batches.forEach((batch) => {
       if (batch.sequence <= (this.#counted[batch.source] ?? 0)) return;
-      const own = this.#batches.get(batch.source) ?? new Map();
-      if (!own.has(batch.sequence)) own.set(batch.sequence, batch);
-      this.#batches.set(batch.source, own);
+      const stored = this.#batches.get(batch.source) ?? new Map();
+      if (!stored.has(batch.sequence)) stored.set(batch.sequence, batch);
+      this.#batches.set(batch.source, stored);
     });
   }
 
-  /** Lists all batches held, for a new holder of the role. */
+  /** Lists all batches not yet counted, for a host that takes over reporting. */
   list(): UsageBatch[] {
-    return [...this.#batches.values()].flatMap((own) => [...own.values()]);
+    return [...this.#batches.values()].flatMap((
+      stored,
+    ) => [...stored.values()]);
   }
 
   /**
-   * Builds the figures of a window from what has arrived. Batches are counted
-   * in sequence: one behind a gap waits, or the vector would skip the gap.
+   * Builds the figures of a window from the batches received. Batches of a source
+   * are counted in sequence. A batch after a missing sequence number waits, because
+   * otherwise the vector would skip the missing batch and its usage would be lost.
    */
   buildWindow(window: number, failureDomain: string): FixedWindow {
-    const runs = [...this.#batches].map(([source, own]) =>
-      listRun(own, this.#counted[source] ?? 0)
-        .filter((_, index, run) =>
-          // A batch of a later window waits, and all behind it with it.
-          run.slice(0, index + 1).every((before) => before.window <= window)
+    const contiguous = [...this.#batches].map(([source, stored]) =>
+      listContiguous(stored, this.#counted[source] ?? 0)
+        .filter((_, index, ordered) =>
+          // A batch of a later window waits, and so do all batches after it.
+          ordered.slice(0, index + 1).every((batch) => batch.window <= window)
         )
     );
-    const batches = runs.flat();
+    const batches = contiguous.flat();
     const counted: Record<string, number> = { ...this.#counted };
     batches.forEach((batch) => {
       const last = counted[batch.source] ?? 0;
       counted[batch.source] = Math.max(last, batch.sequence);
     });
-    const late = [...new Set(batches.map((batch) => batch.window))]
-      .filter((other) => other < window).toSorted((a, b) => a - b);
+    const lateWindows = [...new Set(batches.map((batch) => batch.window))]
+      .filter((batchWindow) => batchWindow < window).toSorted((a, b) => a - b);
     return {
       failureDomain,
       window,
       figures: sumWindow(batches, window),
-      adjustments: late.map((other) => ({
-        window: other,
-        figures: sumWindow(batches, other),
+      adjustments: lateWindows.map((lateWindow) => ({
+        window: lateWindow,
+        figures: sumWindow(batches, lateWindow),
       })),
       counted,
     };
   }
 }
 
-/** The batches that follow `last` without a gap. */
-function listRun(
-  own: ReadonlyMap<number, UsageBatch>,
+/** Lists the batches that follow the sequence number `last` without a gap. */
+function listContiguous(
+  stored: ReadonlyMap<number, UsageBatch>,
   last: number,
 ): UsageBatch[] {
-  const run: UsageBatch[] = [];
-  for (let next = own.get(last + 1); next; next = own.get(next.sequence + 1)) {
-    run.push(next);
+  const batches: UsageBatch[] = [];
+  for (
+    let next = stored.get(last + 1);
+    next;
+    next = stored.get(next.sequence + 1)
+  ) {
+    batches.push(next);
   }
-  return run;
+  return batches;
 }
 
 function sumWindow(
@@ -211,8 +222,8 @@
 }
 
 /**
- * Returns the identifier under which a window is reported; the usage interface
- * knows a repeated report by it.
+ * Returns the identifier of a window report, by which the usage service recognises
+ * a repeated report.
  *
  * @example
  * getWindowId("rosenheim", 7); // "rosenheim-7"
--- a/packages/core/engine_choice.ts
+++ b/packages/core/engine_choice.ts
@@ -1,58 +1,58 @@
 /**
- * Which engine takes a request where many hosts choose without word of each
- * other. An engine reads prompts one after the other, in between the tokens of
- * what it runs, so what a long prompt waits for is the prompts before it, not a
- * slot: engines are compared by the prompt tokens that they have not read yet.
- * Where short and long prompts have engines of their own (`engine_division.ts`),
- * work goes over the border only where its own part is full.
+ * Chooses an engine for a request when many hosts choose without coordination. An
+ * engine prefills prompts one after another, interleaved with decoding, so a long
+ * prompt waits for the prompts before it and not for a slot. Engines are therefore
+ * compared by the prompt tokens that await prefill. If short and long prompts have
+ * separate engines (`engine_division.ts`), a request goes to an engine of the other
+ * kind only when all engines of its own kind are full.
  *
- * Long prompts about one subject meet at one engine, which keeps the part that
- * they share: each of the others would have to read it again.
+ * Long prompts with a common prefix go to one engine, which keeps the prefix in its
+ * KV cache. Any other engine would have to prefill it again.
  */
 import type * as utils from "@banyangrade/utils";
 import * as constants from "./constants.ts";
 import type * as request from "./request.ts";
 import * as textHash from "./text_hash.ts";
 
-/** Mean prompt tokens of a class up to which it counts as short: to read one again takes less than the way to its engine. */
+/** Mean number of prompt tokens up to which a class counts as short: prefilling such a prompt again takes less time than reaching the engine that has it cached. */
 const SHORT_PROMPT_TOKENS = 1_500;
-/** Part of an engine's slots at which its part of the engines counts as full. */
-const FULL_SHARE = 0.7;
-/** Prompt tokens not yet read that weigh like one running request. */
-const TOKENS_PER_LOAD = 8_000;
-/** Unread prompt tokens above the mean at which a subject's own engine is left, as a multiple and in prompts of the same length. */
-const SUBJECT_BOUND = { factor: 1.25, prompts: 2 };
-/** Weight of the way to another failure domain, in running requests. */
-const FOREIGN_LOAD = 0.5;
-/** Load of all hosts above the mean at which an engine gets no short prompt, as a multiple and in requests. */
-const CROWDED_BOUND = { factor: 1.3, slack: 2 };
+/** Share of an engine's slots in use from which it counts as full for its kind of prompts. */
+const FULL_UTILISATION = 0.7;
+/** Prompt tokens awaiting prefill that count as much load as one running request. */
+const TOKENS_PER_REQUEST = 8_000;
+/** Limit on the prompt tokens awaiting prefill on the engine of a prefix, as a multiple of the mean plus a number of prompts of the same length. Above it, another engine is chosen. */
+const PREFIX_LOAD_LIMIT = { factor: 1.25, prompts: 2 };
+/** Penalty for an engine in another failure domain, in running requests. */
+const REMOTE_PENALTY = 0.5;
+/** Limit on the load of an engine over all hosts, as a multiple of the mean plus a number of requests. Above it, the engine counts as overloaded. */
+const LOAD_LIMIT = { factor: 1.3, slack: 2 };
 
-/** An engine as this host sees it. */
+/** State of an engine as known to this host. */
 export interface EngineView {
   readonly name: string;
   readonly failureDomain: string | undefined;
   readonly slots: number;
-  /** Requests of all hosts that it is taken to run. */
+  /** Estimated number of running requests of all hosts. */
   readonly load: number;
-  /** Requests of this host among them. */
+  /** Number of running requests of this host. */
   readonly own: number;
-  /** Prompt tokens of all hosts that it is taken not to have read yet. */
+  /** Estimated prompt tokens of all hosts that await prefill. */
   readonly prompting: number;
-  /** Those of this host among them. */
+  /** Prompt tokens of this host that await prefill. */
   readonly ownPrompting: number;
-  /** Whether this host has a connection to it that nothing uses. */
+  /** Whether this host has an idle connection to the engine. */
   readonly connected: boolean;
 }
 
-/** What is placed. */
+/** Properties of a request that determine its engine. */
 export interface EngineRequest {
   readonly isShort: boolean;
-  /** Subject or session of the prompt; empty if there is none. */
+  /** Identifier of the prefix that the prompt shares with others, such as a session; empty if there is none. */
   readonly prefix: string;
   readonly promptTokens: number;
 }
 
-/** Learns which classes have short prompts, and the tightest pause that they allow. */
+/** Learns which classes have short prompts, and the smallest gap between tokens that they allow. */
 export class PromptLengths {
   readonly #means = new Map<string, number>();
   readonly #tightestMs = new Map<string, number>();
@@ -71,12 +71,12 @@
     this.#tightestMs.set(target, Math.min(before, targetBetweenMs));
   }
 
-  /** The shortest pause that a class with short prompts allows between two events, in ms. */
+  /** Returns the smallest target time between tokens of the classes with short prompts, in ms; infinity if there is none. */
   getTightestMs(target: string): number {
     return this.#tightestMs.get(target) ?? Number.POSITIVE_INFINITY;
   }
 
-  /** Whether a class's prompts are short; by the class, so that its large requests fare like its small ones. */
+  /** Returns whether the prompts of a class are short on average. All requests of a class are treated alike, whatever their own prompt length. */
   isShort(className: string): boolean {
     return (this.#means.get(className) ?? 0) <= SHORT_PROMPT_TOKENS;
   }
@@ -84,64 +84,64 @@
 
 /** Options of {@link chooseEngine}. */
 export interface EngineChoiceOptions {
-  /** All engines that live. */
+  /** All engines that are alive. */
   readonly live: readonly EngineView[];
-  /** Those of them that may be given one more request. */
+  /** The engines among `live` that may get one more request. */
   readonly usable: readonly EngineView[];
-  /** Names of the engines for short prompts; undefined where all engines take both kinds. */
+  /** Names of the engines for short prompts; undefined if all engines take both kinds. */
   readonly shortNames: ReadonlySet<string> | undefined;
   /** This host's failure domain. */
   readonly failureDomain: string;
   readonly random: utils.Random;
 }
 
-/** Where a request goes. */
+/** Engine chosen for a request. */
 export interface EngineChoice {
   readonly name: string;
-  /** Another engine that may hold the beginning of its prompt, to be fetched from there. */
+  /** Another engine that may have the prefix of the prompt in its KV cache, to fetch it from. */
   readonly source?: string;
 }
 
 /**
- * Chooses an engine; undefined if none is usable.
+ * Chooses an engine for a request; returns undefined if no engine is usable.
  *
- * Load pattern: prompts that share a long beginning come every ten seconds, and
- * their engine is busy, was reclaimed, or has just started. To fetch the
- * beginning takes a fraction of the time in which it is read again, and other
- * streams wait for that.
+ * Load pattern: prompts with a long common prefix arrive every ten seconds, and
+ * their engine is busy, was reclaimed, or has just started. Fetching the cached
+ * prefix from another engine takes a fraction of the time of prefilling it again,
+ * which would also delay other streams.
  *
  * @example
  * const choice = chooseEngine({ isShort: true, prefix: "", promptTokens: 600 }, options);
  */
 export function chooseEngine(
-  wanted: EngineRequest,
+  prompt: EngineRequest,
   options: EngineChoiceOptions,
 ): EngineChoice | undefined {
   const { usable, live, shortNames } = options;
-  const isOwn = ({ name }: EngineView) =>
-    shortNames === undefined || shortNames.has(name) === wanted.isShort;
-  const own = usable.filter((engine) =>
-    isOwn(engine) && engine.load < FULL_SHARE * engine.slots
+  const isSameKind = ({ name }: EngineView) =>
+    shortNames === undefined || shortNames.has(name) === prompt.isShort;
+  const sameKind = usable.filter((engine) =>
+    isSameKind(engine) && engine.load < FULL_UTILISATION * engine.slots
   );
-  const among = own.length > 0 ? own : usable;
-  if (wanted.isShort || wanted.prefix === "") {
-    const lightest = chooseLightest(among, options);
-    return lightest && { name: lightest.name };
+  const candidates = sameKind.length > 0 ? sameKind : usable;
+  if (prompt.isShort || prompt.prefix === "") {
+    const leastLoaded = chooseLeastLoaded(candidates, options);
+    return leastLoaded && { name: leastLoaded.name };
   }
-  const most = computeSubjectBound(among, wanted);
-  const chosen = rankForSubject(among, wanted.prefix)
-    .find((engine) => engine.prompting <= most) ??
-    chooseLightest(among, options);
+  const limit = computePrefixLimit(candidates, prompt);
+  const chosen = rankForPrefix(candidates, prompt.prefix)
+    .find((engine) => engine.prompting <= limit) ??
+    chooseLeastLoaded(candidates, options);
   if (chosen === undefined) return undefined;
-  // The first of the rank holds what it was given before; where that is the
-  // chosen one, it may be new, and the second was the first until then.
-  const source = rankForSubject(live.filter(isOwn), wanted.prefix)
+  // The first engine in the rank has usually cached the prefix. If it is the chosen
+  // engine, it may have just started, and the second engine was first until then.
+  const source = rankForPrefix(live.filter(isSameKind), prompt.prefix)
     .slice(0, 2).find(({ name }) => name !== chosen.name);
   return { name: chosen.name, ...(source && { source: source.name }) };
 }
 
-/** Ranks engines for a subject, alike on every host. */
-function rankForSubject(
+/** Ranks engines for a prompt prefix by rendezvous hashing, in the same order on every host. */
+function rankForPrefix(
   engines: readonly EngineView[],
   prefix: string,
 ): EngineView[] {
@@ -151,49 +151,53 @@
   })).toSorted((a, b) => a.rank - b.rank).map(({ engine }) => engine);
 }
 
-/** Unread prompt tokens at which an engine takes no more of its subjects. */
-function computeSubjectBound(
+/** Computes the prompt tokens awaiting prefill above which an engine gets no more prompts of its prefixes. */
+function computePrefixLimit(
   engines: readonly EngineView[],
   { promptTokens }: EngineRequest,
 ): number {
   const sum = engines.reduce((total, one) => total + one.prompting, 0);
   const mean = sum / Math.max(1, engines.length);
-  return SUBJECT_BOUND.factor * mean + SUBJECT_BOUND.prompts * promptTokens;
+  return PREFIX_LOAD_LIMIT.factor * mean +
+    PREFIX_LOAD_LIMIT.prompts * promptTokens;
 }
 
 /**
- * Chooses among the engines with the least work of this host, at random.
+ * Chooses at random among the engines with the least load from this host, and
+ * prefers those with an idle connection.
  *
- * Load pattern: sixty hosts with a few requests each see most engines without
- * any work of their own; where all took the first engine of equal ones, it would
- * get several times the mean. Word of the other hosts is a second old, and all
- * hosts have the same: if each took the engine with the least load by it, all
- * would take the same one until the next word. So that word only rules out the
- * engines that are crowded.
+ * Load pattern: sixty hosts with a few requests each have no requests on most
+ * engines. If every host took the first of several equal engines, that engine would
+ * get several times the mean load. The statuses of the other hosts are up to a
+ * second old and equal on all hosts. If every host took the least loaded engine by
+ * these statuses, all hosts would take the same engine until the next status. The
+ * statuses are therefore used only to exclude overloaded engines.
  */
-function chooseLightest(
+function chooseLeastLoaded(
   engines: readonly EngineView[],
   { failureDomain, random }: EngineChoiceOptions,
 ): EngineView | undefined {
-  const open = findUncrowded(engines);
+  const available = dropOverloaded(engines);
   const score = (engine: EngineView) =>
-    engine.own + engine.ownPrompting / TOKENS_PER_LOAD +
-    (engine.failureDomain === failureDomain ? 0 : FOREIGN_LOAD);
-  const least = Math.min(...open.map(score));
-  const lightest = open.filter((engine) => score(engine) === least);
-  const connected = lightest.filter((engine) => engine.connected);
-  const drawn = connected.length > 0 ? connected : lightest;
-  return drawn[random.below(drawn.length)];
+    engine.own + engine.ownPrompting / TOKENS_PER_REQUEST +
+    (engine.failureDomain === failureDomain ? 0 : REMOTE_PENALTY);
+  const minScore = Math.min(...available.map(score));
+  const leastLoaded = available.filter((engine) => score(engine) === minScore);
+  const connected = leastLoaded.filter((engine) => engine.connected);
+  const candidates = connected.length > 0 ? connected : leastLoaded;
+  return candidates[random.below(candidates.length)];
 }
 
-/** Finds the engines whose load over all hosts is not well above the mean. */
-function findUncrowded(engines: readonly EngineView[]): readonly EngineView[] {
+/** Removes the engines whose load over all hosts is well above the mean. */
+function dropOverloaded(
+  engines: readonly EngineView[],
+): readonly EngineView[] {
   const sum = engines.reduce((total, one) => total + measureLoad(one), 0);
   const mean = sum / Math.max(1, engines.length);
-  const bound = CROWDED_BOUND.factor * mean + CROWDED_BOUND.slack;
-  return engines.filter((engine) => measureLoad(engine) <= bound);
+  const limit = LOAD_LIMIT.factor * mean + LOAD_LIMIT.slack;
+  return engines.filter((engine) => measureLoad(engine) <= limit);
 }
 
 function measureLoad({ load, prompting }: EngineView): number {
-  return load + prompting / TOKENS_PER_LOAD;
+  return load + prompting / TOKENS_PER_REQUEST;
 }
--- a/packages/core/engine_choice_test.ts
+++ b/packages/core/engine_choice_test.ts
@@ -1,4 +1,4 @@
-/** The choice of an engine by many hosts that hear of each other seldom. */
+/** Tests of the choice of engines by many hosts whose knowledge of each other is out of date. */
 import * as tapModule from "tap";
 import * as utils from "@banyangrade/utils";
 import * as core from "./mod.ts";
@@ -23,14 +23,14 @@
   }));
 }
 
-/** Chooses among engines all of which live, unless it is said otherwise. */
+/** Returns the name of the chosen engine; all usable engines are alive unless `options` say otherwise. */
 function chooseName(
-  wanted: core.EngineRequest,
+  prompt: core.EngineRequest,
   options:
     & Pick<core.EngineChoiceOptions, "usable">
     & Partial<core.EngineChoiceOptions>,
 ): string | undefined {
-  return core.chooseEngine(wanted, {
+  return core.chooseEngine(prompt, {
     live: options.usable,
     shortNames: undefined,
     failureDomain: "a",
@@ -40,46 +40,46 @@
 }
 
 const random = utils.createRandom(1);
-const QUERY = { isShort: true, prefix: "", promptTokens: 600 };
+const SHORT_REQUEST = { isShort: true, prefix: "", promptTokens: 600 };
 
-function buildSummary(prefix: string): core.EngineRequest {
+function buildLongRequest(prefix: string): core.EngineRequest {
   return { isShort: false, prefix, promptTokens: 9_000 };
 }
 
-/** Prompt tokens that an engine reads in a ms. */
-const READ_PER_MS = 112;
-/** Between two words of the other hosts, in ms. */
-const WORD_MS = 1_000;
+/** Prompt tokens that an engine prefills per ms. */
+const PREFILL_TOKENS_PER_MS = 112;
+/** Time between two statuses of the other hosts, in ms. */
+const STATUS_INTERVAL_MS = 1_000;
 
-interface Unread {
+interface QueuedPrompt {
   readonly host: number;
   readonly tokens: number;
-  readonly readAt: number;
+  readonly prefilledAt: number;
 }
 
-/** Engines that read prompts one after the other, as hosts see them. */
-class ReadingEngines {
+/** Simulates engines that prefill prompts one after another, and the view that each host has of them. */
+class SimulatedEngines {
   readonly #names: readonly string[];
-  readonly #unread = new Map<string, readonly Unread[]>();
-  #told = new Map<string, readonly Unread[]>();
-  #toldAt = Number.NEGATIVE_INFINITY;
+  readonly #queued = new Map<string, readonly QueuedPrompt[]>();
+  #reported = new Map<string, readonly QueuedPrompt[]>();
+  #reportedAt = Number.NEGATIVE_INFINITY;
 
   constructor(names: readonly string[]) {
     this.#names = names;
   }
 
-  /** What a host sees: its own work now, that of the others as last told. */
+  /** Lists the engines as a host sees them: with its own current requests, and those of other hosts as of the last status. */
   listViews(host: number, now: number): core.EngineView[] {
-    if (now - this.#toldAt >= WORD_MS) {
-      this.#told = new Map(
-        this.#names.map((name) => [name, this.#listUnread(name, now)]),
+    if (now - this.#reportedAt >= STATUS_INTERVAL_MS) {
+      this.#reported = new Map(
+        this.#names.map((name) => [name, this.#listQueued(name, now)]),
       );
-      this.#toldAt = now;
+      this.#reportedAt = now;
     }
     return this.#names.map((name, index) => {
-      const own = this.#listUnread(name, now)
+      const own = this.#listQueued(name, now)
         .filter((one) => one.host === host);
-      const others = (this.#told.get(name) ?? [])
+      const others = (this.#reported.get(name) ?? [])
         .filter((one) => one.host !== host);
       return {
         name,
@@ -94,120 +94,134 @@
     });
   }
 
-  /** Gives an engine a prompt; returns how long it waits until it is read, in ms. */
-  add(name: string, prompt: Omit<Unread, "readAt">, now: number): number {
-    const before = this.#unread.get(name) ?? [];
-    const startAt = Math.max(now, before.at(-1)?.readAt ?? now);
-    const readAt = startAt + prompt.tokens / READ_PER_MS;
-    this.#unread.set(name, [...before, { ...prompt, readAt }]);
-    return readAt - now;
+  /** Adds a prompt to an engine; returns the time until its prefill ends, in ms. */
+  add(
+    name: string,
+    prompt: Omit<QueuedPrompt, "prefilledAt">,
+    now: number,
+  ): number {
+    const before = this.#queued.get(name) ?? [];
+    const startAt = Math.max(now, before.at(-1)?.prefilledAt ?? now);
+    const prefilledAt = startAt + prompt.tokens / PREFILL_TOKENS_PER_MS;
+    this.#queued.set(name, [...before, { ...prompt, prefilledAt }]);
+    return prefilledAt - now;
   }
 
-  #listUnread(name: string, now: number): readonly Unread[] {
-    return (this.#unread.get(name) ?? []).filter(({ readAt }) => readAt > now);
+  #listQueued(name: string, now: number): readonly QueuedPrompt[] {
+    return (this.#queued.get(name) ?? []).filter(({ prefilledAt }) =>
+      prefilledAt > now
+    );
   }
 }
 
-function sumTokens(unread: readonly Unread[]): number {
-  return unread.reduce((sum, { tokens }) => sum + tokens, 0);
+function sumTokens(prompts: readonly QueuedPrompt[]): number {
+  return prompts.reduce((sum, { tokens }) => sum + tokens, 0);
 }
 
-/** Replays a second after second of prompts at seven hosts; returns the waits, in ms. */
-function replayPrompts(
+/** Sends prompts at a constant rate through seven hosts; returns the time until each prefill ends, in ms. */
+function simulatePrompts(
   { engines, perSecond, seconds }: {
     readonly engines: number;
     readonly perSecond: number;
     readonly seconds: number;
   },
 ): number[] {
-  const draws = utils.createRandom(7);
-  const reading = new ReadingEngines(
+  const seeded = utils.createRandom(7);
+  const simulation = new SimulatedEngines(
     Array.from({ length: engines }, (_, index) => `engine-${index}`),
   );
   return Array.from({ length: perSecond * seconds }, (_, index) => {
     const now = 1_000 * index / perSecond;
-    const host = draws.below(7);
-    const usable = reading.listViews(host, now);
-    const wanted = buildSummary(`rig-${draws.below(400)}`);
-    const name = chooseName(wanted, { usable, random: draws }) ?? "";
-    return reading.add(name, { host, tokens: 5_000 }, now);
+    const host = seeded.below(7);
+    const usable = simulation.listViews(host, now);
+    const prompt = buildLongRequest(`rig-${seeded.below(400)}`);
+    const name = chooseName(prompt, { usable, random: seeded }) ?? "";
+    return simulation.add(name, { host, tokens: 5_000 }, now);
   });
 }
 
-// Guards against a burst of long prompts that queues up at few engines while the others idle.
-tap.test("a burst of long prompts is read in time by all engines", (t) => {
-  const waits = replayPrompts({ engines: 12, perSecond: 100, seconds: 10 });
+// Guards against a burst of long prompts that queues on a few engines while the rest
+// are idle.
+tap.test("a burst of long prompts is spread over all engines", (t) => {
+  const waits = simulatePrompts({ engines: 12, perSecond: 100, seconds: 10 });
   const late = waits.filter((wait) => wait > 400).length;
   t.ok(late < 0.03 * waits.length, `${late} of ${waits.length} late`);
   t.end();
 });
 
-// The same with as much as the engines can just read: nobody waits for seconds.
-tap.test("prompts at the limit wait about alike", (t) => {
-  const waits = replayPrompts({ engines: 6, perSecond: 120, seconds: 10 });
+// Guards against uneven queues at the prefill capacity of the engines: no prompt may
+// wait for seconds.
+tap.test("prompts at full capacity wait about equally long", (t) => {
+  const waits = simulatePrompts({ engines: 6, perSecond: 120, seconds: 10 });
   t.ok(Math.max(...waits) < 1_500, `${Math.max(...waits)} ms the longest`);
   t.end();
 });
 
-// Guards against subjects that wander: each engine would read their shared parts again.
-tap.test("a subject comes back to its engine, subjects spread", (t) => {
+// Guards against prefixes that move between engines: each engine would prefill the
+// shared part again.
+tap.test("a prefix returns to its engine, prefixes are spread", (t) => {
   const usable = buildEngines(13);
   const names = Array.from(
     { length: 40 },
-    (_, index) => chooseName(buildSummary(`plant-${index}`), { usable }),
+    (_, index) => chooseName(buildLongRequest(`plant-${index}`), { usable }),
   );
   t.ok(new Set(names).size > 8, `${new Set(names).size} engines`);
-  t.equal(chooseName(buildSummary("plant-1"), { usable }), names[1]);
+  t.equal(chooseName(buildLongRequest("plant-1"), { usable }), names[1]);
   t.equal(
-    chooseName(buildSummary("plant-1"), { usable: usable.toReversed() }),
+    chooseName(buildLongRequest("plant-1"), { usable: usable.toReversed() }),
     names[1],
-    "in whatever order they are listed",
+    "in any order of the list",
   );
-  t.equal(chooseName(QUERY, { usable: [] }), undefined);
+  t.equal(chooseName(SHORT_REQUEST, { usable: [] }), undefined);
   t.end();
 });
 
-// Guards against long prompts that break the pauses of short ones beside them.
-tap.test("where engines are divided, short and long do not meet", (t) => {
+// Guards against long prompts that delay the tokens of short requests on the same
+// engine.
+tap.test("divided engines keep short and long prompts apart", (t) => {
   const usable = buildEngines(13);
-  const shortNames = core.divideEngines(usable, 0.5);
+  const shortNames = core.selectShortPromptEngines(usable, 0.5);
   const options = { usable, shortNames };
-  t.ok(shortNames.has(chooseName(QUERY, options) ?? ""));
+  t.ok(shortNames.has(chooseName(SHORT_REQUEST, options) ?? ""));
   const long = Array.from(
     { length: 40 },
-    (_, index) => chooseName(buildSummary(`plant-${index}`), options),
+    (_, index) => chooseName(buildLongRequest(`plant-${index}`), options),
   );
   t.notOk(long.some((name) => shortNames.has(name ?? "")));
-  t.ok(new Set(long).size > 4, "subjects spread over the engines");
+  t.ok(new Set(long).size > 4, "prefixes are spread over the engines");
   t.end();
 });
 
-// Guards against a burst of queries that waits at its own engines while others have room.
-tap.test("a part that is full gives over to the other one", (t) => {
-  const shortNames = core.divideEngines(buildEngines(13), 0.5);
+// Guards against a burst of short prompts that waits for its own engines while the
+// engines for long prompts have free slots.
+tap.test("prompts overflow to the other kind of engines", (t) => {
+  const shortNames = core.selectShortPromptEngines(buildEngines(13), 0.5);
   const usable = buildEngines(
     13,
     (index) => ({ load: shortNames.has(`engine-${index}`) ? 30 : 1 }),
   );
-  t.notOk(shortNames.has(chooseName(QUERY, { usable, shortNames }) ?? ""));
+  t.notOk(
+    shortNames.has(chooseName(SHORT_REQUEST, { usable, shortNames }) ?? ""),
+  );
   t.end();
 });
 
-// Guards against one subject in demand that loads its engine with all of its work.
-tap.test("a subject in demand leaves its engine when that is loaded", (t) => {
+// Guards against a popular prefix that overloads its engine.
+tap.test("a popular prefix leaves its engine when overloaded", (t) => {
   const engines = buildEngines(13);
-  const own = chooseName(buildSummary("hot"), { usable: engines });
+  const own = chooseName(buildLongRequest("hot"), { usable: engines });
   const load = (prompting: number) =>
     engines.map((engine) =>
       engine.name === own ? { ...engine, prompting } : engine
     );
-  t.equal(chooseName(buildSummary("hot"), { usable: load(16_000) }), own);
-  t.not(chooseName(buildSummary("hot"), { usable: load(20_000) }), own);
+  t.equal(chooseName(buildLongRequest("hot"), { usable: load(16_000) }), own);
+  t.not(chooseName(buildLongRequest("hot"), { usable: load(20_000) }), own);
   t.end();
 });
 
-// Guards against hosts that all send to the same of the engines that look idle to them.
-tap.test("hosts with little work of their own spread it", (t) => {
+// Guards against hosts that all choose the same engine among those that look idle to
+// them.
+tap.test("hosts with few requests spread them over engines", (t) => {
   const usable = buildEngines(60);
   const counts = new Map<string, number>();
   Array.from({ length: 60 }).forEach((_, host) => {
@@ -217,50 +231,52 @@
       random: utils.createRandom(utils.hashSeed(`host-${host}`)),
     };
     [1, 2, 3].forEach(() => {
-      const name = chooseName(QUERY, options) ?? "";
+      const name = chooseName(SHORT_REQUEST, options) ?? "";
       counts.set(name, (counts.get(name) ?? 0) + 1);
     });
   });
-  t.ok(Math.max(...counts.values()) <= 10, "three in the mean");
+  t.ok(Math.max(...counts.values()) <= 10, "the mean is three");
   t.end();
 });
 
-// Guards against word that all hosts have alike: the engine with the least by it must not get everything.
-tap.test("a crowded engine gets no more, the emptiest not everything", (t) => {
+// Guards against herding: all hosts have equal statuses, so the engine with the least
+// reported load must not get all requests.
+tap.test("an overloaded engine gets no request, the rest share", (t) => {
   const usable = buildEngines(8, (index) => ({
     failureDomain: "a",
     load: index === 0 ? 14 : 5 - index % 2,
   }));
   const chosen = new Set(
-    Array.from({ length: 200 }, () => chooseName(QUERY, { usable })),
+    Array.from({ length: 200 }, () => chooseName(SHORT_REQUEST, { usable })),
   );
   t.notOk(chosen.has("engine-0"));
   t.equal(chosen.size, 7);
   t.end();
 });
 
-// Guards against prompts that are read again where another engine could give them.
-tap.test("a prompt is fetched from the engine that may keep it", (t) => {
+// Guards against prefill of a prefix that another engine could provide from its KV
+// cache.
+tap.test("a prefix is fetched from the engine that may cache it", (t) => {
   const live = buildEngines(13);
   const options = { live, shortNames: undefined, failureDomain: "a", random };
-  const wanted = buildSummary("plant");
-  const first = core.chooseEngine(wanted, { ...options, usable: live });
+  const prompt = buildLongRequest("plant");
+  const first = core.chooseEngine(prompt, { ...options, usable: live });
   t.ok(first?.source !== undefined && first.source !== first.name);
-  const spilled = core.chooseEngine(wanted, {
+  const overflowed = core.chooseEngine(prompt, {
     ...options,
     usable: live.filter(({ name }) => name !== first?.name),
   });
-  t.same(spilled, { name: first?.source, source: first?.name });
+  t.same(overflowed, { name: first?.source, source: first?.name });
   t.same(
-    core.chooseEngine(wanted, {
+    core.chooseEngine(prompt, {
       ...options,
       live: [live[0]],
       usable: [live[0]],
     }),
     { name: "engine-0" },
-    "there is no other one",
+    "there is no other engine",
   );
-  const short = { ...QUERY, prefix: "plant" };
+  const short = { ...SHORT_REQUEST, prefix: "plant" };
   t.equal(
     core.chooseEngine(short, { ...options, usable: live })?.source,
     undefined,
@@ -268,18 +284,20 @@
   t.end();
 });
 
-// Guards against handshakes: each new connection holds up its engine.
-tap.test("of equal engines those with an idle connection are taken", (t) => {
+// Guards against needless connection handshakes, each of which delays the engine.
+tap.test("equal engines with an idle connection are preferred", (t) => {
   const engines = buildEngines(
     8,
     (index) => ({ failureDomain: "a", connected: index > 5 }),
   );
   const choose = (usable: readonly core.EngineView[]) =>
-    new Set(Array.from({ length: 100 }, () => chooseName(QUERY, { usable })));
+    new Set(
+      Array.from({ length: 100 }, () => chooseName(SHORT_REQUEST, { usable })),
+    );
   t.same([...choose(engines)].toSorted(), ["engine-6", "engine-7"]);
   const busy = engines.map((engine) =>
     engine.connected ? { ...engine, own: 1, load: 1 } : engine
   );
-  t.equal(choose(busy).size, 6, "but not in place of idle ones");
+  t.equal(choose(busy).size, 6, "but not over less loaded engines");
   t.end();
 });
--- a/packages/core/engine_division.ts
+++ b/packages/core/engine_division.ts
@@ -1,109 +1,120 @@
 /**
- * Whether engines are divided between short and long prompts, and how.
+ * Decides whether engines are divided between short and long prompts, and in
+ * which ratio.
  *
- * Load pattern: short prompts with tight pauses beside a run of long prompts.
- * Where engines read slowly, or in large pieces, each long prompt breaks the
- * pauses of all streams beside it, so both kinds get engines of their own. Where
- * the streams keep their pauses all the same, every engine takes both: a division
- * would leave one part idle while prompts wait in the other.
+ * Load pattern: short prompts with strict limits on the gaps between tokens, along
+ * with a series of long prompts. If engines prefill slowly or in large chunks,
+ * each long prompt delays the tokens of all streams on the same engine, so short
+ * and long prompts get separate engines. If the gaps stay within their limits, all
+ * engines take both kinds, because a division would leave some engines idle while
+ * prompts queue for the rest.
  */
 import type * as pauses from "./pauses.ts";
 import * as textHash from "./text_hash.ts";
 
-/** Part of an engine's slots that short prompts are planned to fill: a class may burst to 2.5 times its load before word of it is round. */
-const SHORT_FILL = 0.25;
-/** Requests with unread prompts for which an engine for long prompts is planned: one that reads half of the time has about as many. */
-const LONG_READING = 0.7;
-/** Change of the demand's division at which that of the engines follows: each time, subjects lose their engines. */
-const SHARE_STEP = 0.08;
-/** Largest part of the engines that short prompts get ahead of long ones. */
-const FIRST_SHARE = 0.5;
-/** Pauses that must have been seen before engines change between divided and mixed. */
-const LEAST_PAUSES = 200;
-/** Part of the pauses that may be too long for engines to be mixed, and at which they are divided again. */
-const LONG_PAUSES = { mixed: 0.02, divided: 0.05 };
+/** Planned utilisation of an engine for short prompts, as a share of its slots: a class may burst to 2.5 times its load before all hosts know of it. */
+const SHORT_PROMPT_UTILISATION = 0.25;
+/** Number of requests awaiting prefill that an engine for long prompts is planned for: an engine that spends half of its time on prefill has about that many. */
+const LONG_PROMPT_PREFILLS = 0.7;
+/** Minimum change of the share of short prompts that changes the division: each change moves prompt prefixes away from the engines that cache them. */
+const MIN_SHARE_CHANGE = 0.08;
+/** Maximum share of the engines that short prompts get before long prompts. */
+const MAX_RESERVED_SHARE = 0.5;
+/** Minimum number of observed gaps between tokens for a change between divided and mixed engines. */
+const MIN_OBSERVED_GAPS = 200;
+/** Share of gaps that exceed their limit: engines become mixed below `mixed`, and divided again from `divided` on. The difference prevents oscillation. */
+const LONG_GAP_SHARES = { mixed: 0.02, divided: 0.05 };
 
-/** How a service's engines take short and long prompts. */
+/** Division of the engines of a service between short and long prompts. */
 export type EngineDivision =
   | { readonly kind: "mixed" }
-  /** Some are for short prompts only, the others for long ones. */
+  /** A share of the engines takes only short prompts, and the rest only long prompts. */
   | { readonly kind: "divided"; readonly shortShare: number };
 
-/** Before anything is known. */
+/** Division before any demand is known. */
 export const DIVISION_AT_FIRST: EngineDivision = {
   kind: "divided",
   shortShare: 0.4,
 };
 
-/** What all hosts ask of a service's engines. */
+/** Demand of all hosts for the engines of a service. */
 export interface PromptDemand {
-  /** Requests running and queued whose class has short prompts. */
+  /** Number of requests running and queued whose class has short prompts. */
   readonly short: number;
-  /** The others. */
+  /** Number of requests running and queued whose class has long prompts. */
   readonly long: number;
-  /** Requests whose prompt is not read yet, on average. */
+  /** Average number of requests whose prompt awaits prefill. */
   readonly reading: number;
-  /** Pauses of streams beside long prompts. */
+  /** Gaps between tokens of streams that share an engine with long prompts. */
   readonly pauses: pauses.PauseCounts;
 }
 
-/** A service's engines, and what all hosts ask of them. */
+/** Engines of a service and the demand of all hosts for them. */
 export interface EngineDemand {
   readonly demand: PromptDemand;
   readonly engines: number;
-  /** Slots of an engine. */
+  /** Slots per engine. */
   readonly slots: number;
 }
 
 /**
- * Decides how a service's engines are divided. One host decides it for all:
- * where each went by its own word of the demand, they would disagree on some
- * engines, which got prompts of both kinds.
+ * Decides how the engines of a service are divided. One host decides for all
+ * hosts. When each host decided by the demand known to it, hosts disagreed on some
+ * engines, which then got prompts of both kinds.
  *
  * @example
  * const division = decideDivision({ demand, engines: 20, slots: 16 }, DIVISION_AT_FIRST);
  */
 export function decideDivision(
-  asked: EngineDemand,
-  before: EngineDivision,
+  engineDemand: EngineDemand,
+  previous: EngineDivision,
 ): EngineDivision {
-  if (mayMix(asked.demand.pauses, before)) return { kind: "mixed" };
-  const divided = before.kind === "divided" ? before : DIVISION_AT_FIRST;
+  if (mayMix(engineDemand.demand.pauses, previous)) return { kind: "mixed" };
+  const divided = previous.kind === "divided" ? previous : DIVISION_AT_FIRST;
   const share = divided.kind === "divided" ? divided.shortShare : 0;
-  return { kind: "divided", shortShare: computeShortShare(asked, share) };
+  return {
+    kind: "divided",
+    shortShare: computeShortShare(engineDemand, share),
+  };
 }
 
 function mayMix(
   { seen, long }: pauses.PauseCounts,
-  before: EngineDivision,
+  previous: EngineDivision,
 ): boolean {
-  const isMixed = before.kind === "mixed";
-  if (seen < LEAST_PAUSES) return isMixed;
-  return long / seen < (isMixed ? LONG_PAUSES.divided : LONG_PAUSES.mixed);
+  const isMixed = previous.kind === "mixed";
+  if (seen < MIN_OBSERVED_GAPS) return isMixed;
+  return long / seen <
+    (isMixed ? LONG_GAP_SHARES.divided : LONG_GAP_SHARES.mixed);
 }
 
 /**
- * Computes the part of the engines that is for short prompts.
+ * Computes the share of the engines for short prompts.
  *
- * Load pattern: a burst of long prompts beyond what all engines can take. By
- * the demand alone, short prompts would be left with a tenth of the engines and
- * fail too, though they need little: they get what they need first, up to half.
+ * Load pattern: a burst of long prompts beyond the capacity of all engines. In
+ * proportion to the demand, short prompts would get a tenth of the engines and
+ * fail as well, although they need few. They get what they need first, up to half
+ * of the engines.
  */
 function computeShortShare(
   { demand, engines, slots }: EngineDemand,
-  before: number,
+  previousShare: number,
 ): number {
-  const short = demand.short / (SHORT_FILL * slots);
-  const long = demand.long === 0 ? 0 : demand.reading / LONG_READING;
-  if (short + long === 0 || engines === 0) return before;
-  const needed = Math.min(FIRST_SHARE, short / engines);
-  const share = Math.max(short / (short + long), needed);
-  return Math.abs(share - before) > SHARE_STEP ? share : before;
+  const shortEngines = demand.short / (SHORT_PROMPT_UTILISATION * slots);
+  const longEngines = demand.long === 0
+    ? 0
+    : demand.reading / LONG_PROMPT_PREFILLS;
+  if (shortEngines + longEngines === 0 || engines === 0) return previousShare;
+  const reserved = Math.min(MAX_RESERVED_SHARE, shortEngines / engines);
+  const share = Math.max(shortEngines / (shortEngines + longEngines), reserved);
+  return Math.abs(share - previousShare) > MIN_SHARE_CHANGE
+    ? share
+    : previousShare;
 }
 
 /**
- * Returns the names of the engines that are for short prompts only; undefined
- * where all take both kinds.
+ * Returns the names of the engines that take only short prompts; undefined if all
+ * engines take both kinds.
  *
  * @example
  * const shortNames = listShortNames(engines, { kind: "mixed" }); // undefined
@@ -116,32 +127,33 @@
     case "mixed":
       return undefined;
     case "divided":
-      return divideEngines(engines, division.shortShare);
+      return selectShortPromptEngines(engines, division.shortShare);
   }
 }
 
-/** An engine as far as its rank depends on it. */
+/** Properties of an engine that determine its rank. */
 export interface RankedEngine {
   readonly name: string;
   readonly failureDomain: string | undefined;
 }
 
 /**
- * Returns the names of the engines that are for short prompts: the first ones
- * in the common rank. A kind that nobody asks for takes none.
+ * Returns the names of the engines for short prompts: the first ones in the rank
+ * that all hosts compute alike. A share of 0 or 1 leaves the other kind without
+ * engines; any other share gives each kind at least one.
  *
  * @example
- * const names = divideEngines(engines, 0.4);
+ * const names = selectShortPromptEngines(engines, 0.4);
  */
-export function divideEngines(
+export function selectShortPromptEngines(
   engines: readonly RankedEngine[],
   share: number,
 ): ReadonlySet<string> {
-  const least = share > 0 ? 1 : 0;
-  const most = engines.length - (share < 1 ? 1 : 0);
+  const min = share > 0 ? 1 : 0;
+  const max = engines.length - (share < 1 ? 1 : 0);
   const count = Math.max(
-    least,
-    Math.min(most, Math.round(share * engines.length)),
+    min,
+    Math.min(max, Math.round(share * engines.length)),
   );
   return new Set(
     rankEngines(engines).slice(0, count).map((engine) => engine.name),
@@ -149,8 +161,9 @@
 }
 
 /**
- * Ranks engines alike on every host, the failure domains by turns, so that the
- * loss of one takes its part of each kind.
+ * Ranks engines in the same order on every host. The rank alternates between
+ * failure domains, so that the loss of one failure domain affects both kinds of
+ * engines in proportion.
  */
 function rankEngines(engines: readonly RankedEngine[]): RankedEngine[] {
   const turns = new Map<string, number>();
--- a/packages/core/engine_division_test.ts
+++ b/packages/core/engine_division_test.ts
@@ -1,4 +1,4 @@
-/** Engines for short and long prompts, alike on every host. */
+/** Tests of the division of engines between short and long prompts. */
 import * as tapModule from "tap";
 import * as core from "./mod.ts";
 
@@ -12,10 +12,10 @@
   }));
 }
 
-/** Decides for 40 engines of 16 slots. */
+/** Decides the division of 40 engines with 16 slots each. */
 function decide(
   demand: Partial<core.PromptDemand>,
-  before: core.EngineDivision,
+  previous: core.EngineDivision,
 ): core.EngineDivision {
   return core.decideDivision({
     demand: {
@@ -27,22 +27,22 @@
     },
     engines: 40,
     slots: 16,
-  }, before);
+  }, previous);
 }
 
-/** The part for short prompts after a decision. */
+/** Decides the division and returns the share for short prompts. */
 function decideShare(
   demand: Partial<core.PromptDemand>,
   shortShare: number,
 ): number {
-  const after = decide(demand, { kind: "divided", shortShare });
-  return after.kind === "divided" ? after.shortShare : Number.NaN;
+  const division = decide(demand, { kind: "divided", shortShare });
+  return division.kind === "divided" ? division.shortShare : Number.NaN;
 }
 
-tap.test("every host divides the engines alike, over failure domains", (t) => {
+tap.test("all hosts select the same engines, from all domains", (t) => {
   const engines = buildEngines(13);
-  const names = core.divideEngines(engines, 0.5);
-  t.same(core.divideEngines(engines.toReversed(), 0.5), names);
+  const names = core.selectShortPromptEngines(engines, 0.5);
+  t.same(core.selectShortPromptEngines(engines.toReversed(), 0.5), names);
   t.ok(names.size > 2 && names.size < 9, `${names.size} of 13`);
   const domains = engines.filter(({ name }) => names.has(name))
     .map(({ failureDomain }) => failureDomain);
@@ -50,17 +50,18 @@
   t.end();
 });
 
-tap.test("a kind that nobody asks for takes no engine", (t) => {
+tap.test("a kind of prompt without demand gets no engine", (t) => {
   const engines = buildEngines(6);
-  t.equal(core.divideEngines(engines, 0).size, 0);
-  t.equal(core.divideEngines(engines, 1).size, 6);
-  t.equal(core.divideEngines(engines, 0.01).size, 1);
-  t.equal(core.divideEngines(engines, 0.99).size, 5);
+  t.equal(core.selectShortPromptEngines(engines, 0).size, 0);
+  t.equal(core.selectShortPromptEngines(engines, 1).size, 6);
+  t.equal(core.selectShortPromptEngines(engines, 0.01).size, 1);
+  t.equal(core.selectShortPromptEngines(engines, 0.99).size, 5);
   t.end();
 });
 
-// Guards against subjects that lose the engine with their prompts each time that engines change sides.
-tap.test("the division of engines follows only what lasts", (t) => {
+// Guards against prompt prefixes that lose the engine that caches them, each time
+// that an engine changes between short and long prompts.
+tap.test("small changes of demand keep the division", (t) => {
   const first = decideShare({ short: 50, long: 30, reading: 8 }, 0.5);
   t.equal(first, 0.5);
   const more = decideShare({ short: 90, long: 30, reading: 8 }, first);
@@ -71,20 +72,22 @@
   t.end();
 });
 
-// Guards against short prompts that fail in a burst of long ones, though they need little.
-tap.test("a burst of long prompts leaves short ones what they need", (t) => {
+// Guards against short prompts that fail in a burst of long prompts, although they
+// need few engines.
+tap.test("a burst of long prompts leaves engines for short ones", (t) => {
   const burst = { long: 400, reading: 300 };
   t.equal(decideShare({ ...burst, short: 40 }, 0), 0.25);
   t.equal(
     decideShare({ ...burst, short: 400 }, 0),
     0.5,
-    "but not more than half",
+    "no more than half",
   );
   t.end();
 });
 
-// Guards against long prompts that queue up at their part of the engines while the other part could read them without harm.
-tap.test("engines are mixed where streams keep their pauses", (t) => {
+// Guards against long prompts that queue for their own engines while the engines
+// for short prompts could prefill them without delaying streams.
+tap.test("engines are mixed if streams keep their token gaps", (t) => {
   const harmless = { pauses: { seen: 1_000, long: 5 } };
   const harmful = { pauses: { seen: 1_000, long: 100 } };
   const between = { pauses: { seen: 1_000, long: 35 } };
@@ -94,16 +97,16 @@
   t.same(decide(harmless, divided), mixed);
   t.equal(decide(harmful, divided).kind, "divided");
   t.equal(decide(harmful, mixed).kind, "divided");
-  [divided, mixed].forEach((before) => {
-    t.equal(decide(between, before).kind, before.kind, "no swinging");
-    t.equal(decide(few, before).kind, before.kind, "too few to tell");
+  [divided, mixed].forEach((previous) => {
+    t.equal(decide(between, previous).kind, previous.kind, "no oscillation");
+    t.equal(decide(few, previous).kind, previous.kind, "too few gaps observed");
   });
   t.equal(core.listShortNames(buildEngines(6), mixed), undefined);
   t.end();
 });
 
-// Guards against a bad second long ago that keeps engines divided for good.
-tap.test("old pauses count less and less", (t) => {
+// Guards against a short disturbance that keeps engines divided for good.
+tap.test("the weight of observed gaps decays", (t) => {
   const counter = new core.PauseCounter();
   Array.from({ length: 100 }).forEach(() => counter.record("planner", true, 0));
   t.same(counter.get("planner", 0), { seen: 100, long: 100 });
--- a/packages/core/window_counts.ts
+++ b/packages/core/window_counts.ts
@@ -1,25 +1,25 @@
 /**
- * Requests by usage window and customer, as each host counts them and all
- * hosts together have them. A host publishes its counts of the last windows
- * again and again; each time they replace what it published before, so nothing
- * counts twice and a lost publication is made good by the next one.
+ * Counts requests by usage window and customer, per host and over all hosts. Each
+ * host publishes its counts of the last windows periodically. Each publication
+ * replaces the previous one, so no request counts twice and the next publication
+ * makes up for a lost one.
  */
 import type * as billing from "./billing.ts";
 
-/** Requests by customer. */
+/** Number of requests by customer. */
 export type CustomerCounts = Readonly<Record<string, number>>;
 
-/** Requests by window and customer. */
+/** Number of requests by window and customer. */
 export type WindowTable = Readonly<Record<string, CustomerCounts>>;
 
-/** Windows that a host keeps: as many as can be open at once while a report is late. */
+/** Number of windows that a host keeps: as many as can be open at once while a report is late. */
 const KEPT_WINDOWS = 5;
 
-/** What one host counted. */
+/** Request counts of one host. */
 export class WindowCounter {
   readonly #windows = new Map<number, Map<string, number>>();
 
-  /** Counts one request that began to run. */
+  /** Counts one request that started running. */
   record(window: number, customer: string): void {
     const counts = this.#windows.get(window) ?? new Map<string, number>();
     counts.set(customer, (counts.get(customer) ?? 0) + 1);
@@ -38,19 +38,19 @@
   }
 }
 
-/** Counts of all hosts, from which windows are fixed. */
+/** Request counts of all hosts, from which the final figures of windows are built. */
 export class WindowCollector {
   #tables: readonly WindowTable[] = [];
 
-  /** Takes over what all hosts have published. */
+  /** Replaces the tables by those that all hosts have published. */
   setTables(tables: readonly WindowTable[]): void {
     this.#tables = tables;
   }
 
-  /** Nothing is carried over from one window to the next. */
+  /** Has no effect: no sequence vector is carried from one window to the next. */
   setCounted(): void {}
 
-  /** Builds a window's figures from what is published. */
+  /** Builds the figures of a window from the published tables. */
   buildWindow(window: number, failureDomain: string): billing.FixedWindow {
     const requests = new Map<string, number>();
     this.#tables.flatMap((table) => Object.entries(table[String(window)] ?? {}))
@@ -72,31 +72,32 @@
   }
 }
 
-/** When windows may be fixed. Times in ms, all after a window's end. */
+/** Times that determine which windows may be finalised, in ms. The delays count from the end of a window. */
 export interface WindowTimes {
-  /** True time of day. */
+  /** Corrected time of day. */
   readonly now: number;
-  /** True times at which the hosts last published their counts. */
+  /** Corrected times of day at which the hosts last published their counts. */
   readonly publishedAt: readonly number[];
   readonly windowMs: number;
-  /** Least time for the counts of requests that have just begun. */
+  /** Minimum delay, within which requests that have just started are counted. */
   readonly countsMs: number;
-  /** From when on it is enough that half of the hosts have published. */
+  /** Delay after which it is sufficient that half of the hosts have published. */
   readonly partialMs: number;
-  /** When a window is fixed in any case, as its report would come too late. */
+  /** Delay after which a window is finalised in any case, because its report would be too late otherwise. */
   readonly latestMs: number;
 }
 
-/** Windows that can be open at once; older ones are fixed in any case. */
-const OPEN_WINDOWS = 4;
+/** Maximum number of windows that are open at once; older windows are finalised in any case. */
+const MAX_OPEN_WINDOWS = 4;
 
 /**
- * Finds the newest window that may be fixed: all hosts have published since its
- * end; or half of them have, and the rest may be gone; or it is the last moment.
- * A window that was fixed without counts cannot be mended, so it waits for hosts
- * that are cut off, but not for one that is dead. A host that has published
- * nothing for the whole window either is dead or was without word from the
- * store, and served nothing that counts.
+ * Finds the newest window that may be finalised. A window may be finalised if all
+ * hosts have published since its end, if half of them have and the rest may have
+ * crashed, or if its report would be too late otherwise. Counts that arrive after
+ * a window has been finalised are lost, so the window waits for unreachable hosts,
+ * but not for dead ones. A host that has published nothing during the whole window
+ * has either crashed or was disconnected from the store, and has served no
+ * requests that count.
  *
  * @example
  * findLastWindow({ now, publishedAt, windowMs: 5_000, ...times });
@@ -104,20 +105,25 @@
 export function findLastWindow(times: WindowTimes): number {
   const { now, windowMs } = times;
   const newest = Math.floor(now / windowMs) - 1;
-  const open = Array.from({ length: OPEN_WINDOWS }, (_, age) => newest - age);
-  return open.find((window) => mayFix((window + 1) * windowMs, times)) ??
-    newest - OPEN_WINDOWS;
+  const open = Array.from(
+    { length: MAX_OPEN_WINDOWS },
+    (_, age) => newest - age,
+  );
+  return open.find((window) => mayFinalise((window + 1) * windowMs, times)) ??
+    newest - MAX_OPEN_WINDOWS;
 }
 
-function mayFix(end: number, times: WindowTimes): boolean {
-  const since = times.now - end;
-  if (since >= times.latestMs) return true;
+function mayFinalise(end: number, times: WindowTimes): boolean {
+  const elapsed = times.now - end;
+  if (elapsed >= times.latestMs) return true;
   const { publishedAt } = times;
-  const living = publishedAt.filter((at) => at >= end - times.windowMs);
-  const done = living.filter((at) => at >= end).length;
-  if (since >= times.countsMs && done > 0 && done === living.length) {
+  const active = publishedAt.filter((at) => at >= end - times.windowMs);
+  const published = active.filter((at) => at >= end).length;
+  if (
+    elapsed >= times.countsMs && published > 0 && published === active.length
+  ) {
     return true;
   }
-  return since >= times.partialMs && 2 * done >= publishedAt.length &&
-    done > 0;
+  return elapsed >= times.partialMs && 2 * published >= publishedAt.length &&
+    published > 0;
 }
--- a/packages/core/window_counts_test.ts
+++ b/packages/core/window_counts_test.ts
@@ -1,11 +1,11 @@
-/** Requests by usage window over hosts. */
+/** Tests of the request counts by usage window over all hosts. */
 import * as tapModule from "tap";
 import * as core from "./mod.ts";
 
 const tap = tapModule.default;
 
-// Two hosts count, one of them publishes again before the window is fixed: a
-// later publication replaces the earlier one and nothing counts twice.
+// Guards against requests that are counted twice when a host publishes its counts
+// again before the window is finalised.
 tap.test("publications replace each other and add up over hosts", (t) => {
   const [first, second] = [new core.WindowCounter(), new core.WindowCounter()];
   first.record(7, "studio");
@@ -23,7 +23,7 @@
   t.end();
 });
 
-tap.test("old windows are forgotten", (t) => {
+tap.test("old windows are dropped", (t) => {
   const counter = new core.WindowCounter();
   [1, 2, 3, 4, 5, 6, 7].forEach((window) => counter.record(window, "studio"));
   t.same(Object.keys(counter.list()), ["3", "4", "5", "6", "7"]);
@@ -37,19 +37,31 @@
   latestMs: 8_500,
 };
 
-// A window must not be fixed before the hosts have published what they counted
-// in it: its report would be short for good. Nor may one dead host, or an
-// outage of the store that kept all from publishing, make every report late.
-tap.test("a window waits for counts, but not for the dead", (t) => {
+// Guards against a window that is finalised before the hosts have published its
+// counts, so that its report is too low for good. Also guards against late reports
+// because of one dead host or of a store outage in which no host could publish.
+tap.test("a window waits for counts, but not for dead hosts", (t) => {
   const find = (now: number, publishedAt: readonly number[]) =>
     core.findLastWindow({ ...TIMES, now, publishedAt });
   t.equal(find(51_400, [51_000, 50_900, 51_200]), 8, "too early");
   t.equal(find(51_600, [51_000, 50_900, 51_200]), 9, "all have published");
-  t.equal(find(51_600, [51_000, 48_000, 51_200]), 8, "one is out of reach");
-  t.equal(find(55_100, [54_000, 48_000, 54_200]), 9, "and stays so");
-  t.equal(find(56_000, [48_000, 48_000, 48_100]), 8, "the store was away");
-  t.equal(find(58_600, [48_000, 48_000, 48_100]), 9, "the last moment");
-  t.equal(find(51_600, [51_000, 42_000, 51_200]), 9, "one has long been gone");
-  t.equal(find(58_400, []), 8, "nobody has published");
+  t.equal(find(51_600, [51_000, 48_000, 51_200]), 8, "one host is unreachable");
+  t.equal(find(55_100, [54_000, 48_000, 54_200]), 9, "and remains unreachable");
+  t.equal(
+    find(56_000, [48_000, 48_000, 48_100]),
+    8,
+    "the store was unavailable",
+  );
+  t.equal(
+    find(58_600, [48_000, 48_000, 48_100]),
+    9,
+    "the latest time for the report",
+  );
+  t.equal(
+    find(51_600, [51_000, 42_000, 51_200]),
+    9,
+    "one host crashed long ago",
+  );
+  t.equal(find(58_400, []), 8, "no host has published");
   t.end();
 });
