--- a/packages/core/billing.ts
+++ b/packages/core/billing.ts
@@ -32,7 +32,7 @@
 /** Sequence number of the last batch counted, by source. */
 export type SequenceVector = Readonly<Record<string, number>>;
 
-/** Usage that arrived too late for its stored window. */
+/** Usage that arrived too late for its own window. */
 export interface Adjustment {
   readonly window: number;
   readonly figures: FigureTable;
@@ -150,17 +150,15 @@
   add(batches: readonly UsageBatch[]): void {
     batches.forEach((batch) => {
       if (batch.sequence <= (this.#counted[batch.source] ?? 0)) return;
-      const stored = this.#batches.get(batch.source) ?? new Map();
-      if (!stored.has(batch.sequence)) stored.set(batch.sequence, batch);
-      this.#batches.set(batch.source, stored);
+      const held = this.#batches.get(batch.source) ?? new Map();
+      if (!held.has(batch.sequence)) held.set(batch.sequence, batch);
+      this.#batches.set(batch.source, held);
     });
   }
 
   /** Lists all batches not yet counted, for a host that takes over reporting. */
   list(): UsageBatch[] {
-    return [...this.#batches.values()].flatMap((
-      stored,
-    ) => [...stored.values()]);
+    return [...this.#batches.values()].flatMap((held) => [...held.values()]);
   }
 
   /**
@@ -169,8 +167,8 @@
    * otherwise the vector would skip the missing batch and its usage would be lost.
    */
   buildWindow(window: number, failureDomain: string): FixedWindow {
-    const contiguous = [...this.#batches].map(([source, stored]) =>
-      listContiguous(stored, this.#counted[source] ?? 0)
+    const contiguous = [...this.#batches].map(([source, held]) =>
+      listContiguous(held, this.#counted[source] ?? 0)
         .filter((_, index, ordered) =>
           // A batch of a later window waits, and so do all batches after it.
           ordered.slice(0, index + 1).every((batch) => batch.window <= window)
@@ -199,14 +197,14 @@
 
 /** Lists the batches that follow the sequence number `last` without a gap. */
 function listContiguous(
-  stored: ReadonlyMap<number, UsageBatch>,
+  held: ReadonlyMap<number, UsageBatch>,
   last: number,
 ): UsageBatch[] {
   const batches: UsageBatch[] = [];
   for (
-    let next = stored.get(last + 1);
+    let next = held.get(last + 1);
     next;
-    next = stored.get(next.sequence + 1)
+    next = held.get(next.sequence + 1)
   ) {
     batches.push(next);
   }
--- a/packages/core/domain_orders.ts
+++ b/packages/core/domain_orders.ts
@@ -71,9 +71,9 @@
 
   /**
    * Records that the response to an order was lost. The ordered servers may still
-   * start, so their start time counts from now. When they were not expected any
-   * more, the order was cancelled as soon as spot servers were ordered again, and
-   * a burst had servers of neither kind.
+   * start, so their start time counts from now. If they were not expected to start,
+   * the next plan with available spot servers would cancel the order, and a burst
+   * would get servers of neither kind.
    */
   recordUnanswered(
     { failureDomain, spot }: {
@@ -187,8 +187,8 @@
    * Plans ordinary servers. Existing ordinary servers stay until spot servers
    * have replaced them. New ordinary servers are ordered only if no more spot
    * servers are available and requests would fail, or to meet the configured
-   * minimum. Orders for servers that are still starting are not cancelled: when
-   * orders alternated between both kinds, no server ever became ready.
+   * minimum. Orders for servers that are still starting are not cancelled, because
+   * orders that alternate between both kinds leave the service without servers.
    */
   #planOrdinary(
     round: PlanningRound,
@@ -294,7 +294,7 @@
   /**
    * Returns whether the number of ordinary servers has been stable. When all hosts
    * and servers start at once, the server list fills during the first rounds. A
-   * plan made from an empty list removed every server just as traffic began.
+   * plan made from an empty list would remove every server just as traffic begins.
    */
   #hasSettled(servers: readonly DomainServers[], now: number): boolean {
     if (this.#initial > 0) return true;
--- a/packages/core/engine_division.ts
+++ b/packages/core/engine_division.ts
@@ -59,8 +59,8 @@
 
 /**
  * Decides how the engines of a service are divided. One host decides for all
- * hosts. When each host decided by the demand known to it, hosts disagreed on some
- * engines, which then got prompts of both kinds.
+ * hosts. If each host decided by the demand known to it, hosts would disagree on
+ * some engines, which would then get prompts of both kinds.
  *
  * @example
  * const division = decideDivision({ demand, engines: 20, slots: 16 }, DIVISION_AT_FIRST);
@@ -138,8 +138,8 @@
 }
 
 /**
- * Returns the names of the engines for short prompts: the first ones in the rank
- * that all hosts compute alike. A share of 0 or 1 leaves the other kind without
+ * Returns the names of the engines for short prompts: the first ones in a rank
+ * that is equal on all hosts. A share of 0 or 1 leaves the other kind without
  * engines; any other share gives each kind at least one.
  *
  * @example
--- a/packages/core/host_statuses.ts
+++ b/packages/core/host_statuses.ts
@@ -95,9 +95,9 @@
   /**
    * Stores a status, unless a status of the same process that is as new is known
    * already. A status that another host forwards is of unknown age, so only its
-   * usage counts and suspects are used. When its clock reading was used too,
-   * statuses forwarded during an outage set the time of day of every host back by
-   * seconds.
+   * usage counts and suspects are used. If its clock reading were used as well,
+   * statuses forwarded during an outage would set the time of day of every host
+   * back by seconds.
    */
   take(
     status: HostStatus,
--- a/packages/core/membership.ts
+++ b/packages/core/membership.ts
@@ -10,7 +10,7 @@
  */
 import * as utils from "@banyangrade/utils";
 
-/** State of a host as other hosts see it. */
+/** Status of a host as seen by a host of the same failure domain. */
 export type MemberStatus = "alive" | "suspect" | "dead" | "left";
 
 /** A host of the failure domain. */
@@ -39,9 +39,9 @@
   forgetAfterMs: 60_000,
 };
 
-/** How often an update is sent, as a multiple of the logarithm of the member count. */
+/** Number of times that an update is sent, per binary logarithm of the number of members. */
 const UPDATE_SENDS_FACTOR = 3;
-/** Maximum number of member updates updates by one heartbeat. */
+/** Maximum number of member updates in one heartbeat. */
 const MAX_UPDATES_PER_HEARTBEAT = 16;
 
 interface MemberRecord {
--- a/packages/core/membership_test.ts
+++ b/packages/core/membership_test.ts
@@ -126,50 +126,44 @@
   }
 }
 
-tap.t.test(
-  "every host rejoins every view after pauses and cuts",
-  (t) => {
-    fc.assert(
-      fc.property(
-        fc.array(fault, { minLength: 5, maxLength: 25, size: "max" }),
-        (faults) => {
-          const simulation = new SimulatedHosts();
-          faults.forEach((next) => simulation.run(next));
-          simulation.cutLinks.clear();
-          simulation.pausedRounds.clear();
-          for (let round = 0; round < 40; round += 1) simulation.runRound();
-          simulation.hosts.forEach((membership) => {
-            const seen = membership.listActive().length;
-            if (seen !== HOSTS) {
-              throw new Error(
-                `${membership.getSelf().name} sees ${seen} hosts`,
-              );
-            }
-          });
-        },
-      ),
-      { numRuns: RUNS, seed: SEED },
-    );
-    t.pass(`${RUNS} fault sequences, seed ${SEED}`);
-    t.end();
-  },
-);
+tap.t.test("every host rejoins every view after pauses and cuts", (t) => {
+  fc.assert(
+    fc.property(
+      fc.array(fault, { minLength: 5, maxLength: 25, size: "max" }),
+      (faults) => {
+        const simulation = new SimulatedHosts();
+        faults.forEach((next) => simulation.run(next));
+        simulation.cutLinks.clear();
+        simulation.pausedRounds.clear();
+        for (let round = 0; round < 40; round += 1) simulation.runRound();
+        simulation.hosts.forEach((membership) => {
+          const seen = membership.listActive().length;
+          if (seen !== HOSTS) {
+            throw new Error(
+              `${membership.getSelf().name} sees ${seen} hosts`,
+            );
+          }
+        });
+      },
+    ),
+    { numRuns: RUNS, seed: SEED },
+  );
+  t.pass(`${RUNS} fault sequences, seed ${SEED}`);
+  t.end();
+});
 
-tap.t.test(
-  "a crashed host leaves every view in ten heartbeats",
-  (t) => {
-    // Guards against requests that wait for a crashed host. Only a few hosts send
-    // heartbeats to it, so its death must reach every other view as an update.
-    const simulation = new SimulatedHosts();
-    simulation.pausedRounds.set(3, 1_000);
-    for (let round = 0; round < 10; round += 1) simulation.runRound();
-    simulation.hosts.forEach((membership, index) => {
-      if (index === 3) return;
-      t.notOk(membership.listActive().some((member) => member.name === "h3"));
-    });
-    t.end();
-  },
-);
+tap.t.test("a crashed host leaves every view in ten heartbeats", (t) => {
+  // Guards against requests that wait for a crashed host. Only a few hosts send
+  // heartbeats to it, so its death must reach every other view as an update.
+  const simulation = new SimulatedHosts();
+  simulation.pausedRounds.set(3, 1_000);
+  for (let round = 0; round < 10; round += 1) simulation.runRound();
+  simulation.hosts.forEach((membership, index) => {
+    if (index === 3) return;
+    t.notOk(membership.listActive().some((member) => member.name === "h3"));
+  });
+  t.end();
+});
 
 tap.t.test("a one-way partition does not remove a healthy host", (t) => {
   // Guards against a healthy host that is declared dead again and again because
--- a/scripts/mutations.ts
+++ b/scripts/mutations.ts
@@ -265,8 +265,8 @@
   {
     name: "usage: batches behind a gap are counted",
     file: "packages/core/billing.ts",
-    find: "listContiguous(stored, this.#counted[source] ?? 0)",
-    replace: '[...stored.values()].filter(() => source !== "")',
+    find: "listContiguous(held, this.#counted[source] ?? 0)",
+    replace: '[...held.values()].filter(() => source !== "")',
     test: USAGE,
   },
   {
