--- a/packages/core/cold_return_test.ts
+++ b/packages/core/cold_return_test.ts
@@ -1,4 +1,4 @@
-/** A failure domain that comes back cold in a burst, replayed over many hosts. */
+/** Simulates many hosts while a failure domain comes back cold during a burst of requests. */
 import * as tapModule from "tap";
 import * as utils from "@banyangrade/utils";
 import * as core from "./mod.ts";
@@ -9,15 +9,16 @@
 const HOSTS = 78;
 const DOMAINS = ["a", "b", "c", "d"];
 const ENGINES_EACH = 10;
-/** Requests a second of all hosts. */
-const PER_SECOND = 450;
-/** When the failure domain comes back, and how long it is cold, in ms. */
+/** Request rate of all hosts together, per second. */
+const REQUESTS_PER_SECOND = 450;
+/** Time at which the failure domain comes back, in ms. */
 const RETURNS_AT = 3_000;
+/** Time for which its servers are cold after that, in ms. */
 const COLD_MS = 3_000;
-/** Time that a request runs, in ms. */
-const RUNS_MS = 1_500;
-/** Between two words of the other hosts, in ms. */
-const WORD_MS = 1_000;
+/** Run time of a request, in ms. */
+const RUN_MS = 1_500;
+/** Interval between two load reports of the other hosts, in ms. */
+const LOAD_REPORT_MS = 1_000;
 const MOST_PER_SECOND = 20;
 
 function startHosts(coldStart: core.ColdStart | undefined): core.Dispatcher[] {
@@ -26,7 +27,8 @@
     const pool: core.PoolPart = {
       ...testing.POOL,
       serves: "engine",
-      // A pool reaches over all failure domains, and is each host's own.
+      // The servers of the pool are in all failure domains; each host sees the
+      // pool as one of its own failure domain.
       failureDomain,
       slots: 32,
       ...(coldStart && { coldStart }),
@@ -63,7 +65,7 @@
   );
 }
 
-interface Started {
+interface RunningRequest {
   readonly host: number;
   readonly requestId: string;
   readonly attempt: number;
@@ -71,22 +73,28 @@
   readonly endsAt: number;
 }
 
-function countByServer(started: readonly Started[]): Record<string, number> {
+function countByServer(
+  running: readonly RunningRequest[],
+): Record<string, number> {
   const counts: Record<string, number> = {};
-  started.forEach(({ server }) => {
+  running.forEach(({ server }) => {
     counts[server] = (counts[server] ?? 0) + 1;
   });
   return counts;
 }
 
-/** Replays the burst; returns when each engine of the failure domain was given something, and how many requests started. */
+/**
+ * Simulates the burst. Returns the times at which each engine of the failure
+ * domain that comes back was sent a request, and the number of requests that
+ * started in all failure domains.
+ */
 function replayReturn(coldStart?: core.ColdStart) {
   const hosts = startHosts(coldStart);
-  const draws = utils.createRandom(5);
-  const given = new Map<string, number[]>();
-  let running: Started[] = [];
+  const random = utils.createRandom(5);
+  const sentTimes = new Map<string, number[]>();
+  let running: RunningRequest[] = [];
   let started = 0;
-  const carryOut = (
+  const handleEvent = (
     host: number,
     { event, now }: {
       readonly event: core.DispatchEvent;
@@ -98,26 +106,27 @@
       const { name, failureDomain } = effect.server;
       const requestId = effect.request.id;
       const { attempt } = effect;
-      const endsAt = now + RUNS_MS;
+      const endsAt = now + RUN_MS;
       running.push({ host, requestId, attempt, server: name, endsAt });
       started += 1;
       if (failureDomain !== "d") return;
-      given.set(name, [...given.get(name) ?? [], now]);
+      sentTimes.set(name, [...sentTimes.get(name) ?? [], now]);
     });
-  const tellAll = (
+  const sendToAll = (
     now: number,
     build: (host: number) => core.DispatchEvent,
-  ) => hosts.forEach((_, host) => carryOut(host, { event: build(host), now }));
-  const buildWord = (host: number, now: number): core.DispatchEvent => ({
+  ) =>
+    hosts.forEach((_, host) => handleEvent(host, { event: build(host), now }));
+  const buildLoadReport = (host: number, now: number): core.DispatchEvent => ({
     kind: "load_shared",
     hosts: HOSTS,
-    running: countByServer(running.filter((one) => one.host !== host)),
+    running: countByServer(running.filter((request) => request.host !== host)),
     prompting: {},
     asOf: now,
   });
-  const gapMs = 1_000 / PER_SECOND;
+  const gapMs = 1_000 / REQUESTS_PER_SECOND;
   let returned = false;
-  tellAll(0, () => ({
+  sendToAll(0, () => ({
     kind: "servers_changed",
     servers: listEngines(["a", "b", "c"]),
   }));
@@ -127,18 +136,21 @@
     const ended = running.filter(({ endsAt }) => endsAt <= now);
     running = running.filter(({ endsAt }) => endsAt > now);
     ended.forEach(({ host, requestId, attempt }) =>
-      carryOut(host, {
+      handleEvent(host, {
         event: { kind: "finished", requestId, attempt, tokens: 10 },
         now,
       })
     );
-    if (Math.floor(now / WORD_MS) > Math.floor((now - gapMs) / WORD_MS)) {
-      tellAll(now, (host) => buildWord(host, now));
+    if (
+      Math.floor(now / LOAD_REPORT_MS) >
+        Math.floor((now - gapMs) / LOAD_REPORT_MS)
+    ) {
+      sendToAll(now, (host) => buildLoadReport(host, now));
     }
     if (!returned && now >= RETURNS_AT) {
       returned = true;
       const servers = listEngines(DOMAINS, COLD_MS);
-      tellAll(now, () => ({ kind: "servers_changed", servers }));
+      sendToAll(now, () => ({ kind: "servers_changed", servers }));
     }
     const request: core.Request = {
       ...testing.buildRequest(`r${index}`, { tier: 1 }),
@@ -149,9 +161,9 @@
       startBy: now + 5_000,
     };
     const event = { kind: "arrived", request } as const;
-    carryOut(draws.below(HOSTS), { event, now });
+    handleEvent(random.below(HOSTS), { event, now });
   }
-  return { given: [...given.values()], started };
+  return { sentTimes: [...sentTimes.values()], started };
 }
 
 function countMost(times: readonly number[]): number {
@@ -162,19 +174,23 @@
   );
 }
 
-// Guards against servers that crash as they come back, because every host finds them idle at once.
-tap.test("servers that come back cold in a burst get no more than they bear", (t) => {
-  const bare = replayReturn();
+// Guards against servers that crash as soon as they come back: every host sees
+// them idle at the same time and sends them its requests.
+tap.test("servers that come back cold in a burst are not overloaded", (t) => {
+  const unlimited = replayReturn();
   t.ok(
-    Math.max(...bare.given.map(countMost)) > MOST_PER_SECOND,
-    "they would get more",
+    Math.max(...unlimited.sentTimes.map(countMost)) > MOST_PER_SECOND,
+    "without a limit, the servers are overloaded",
   );
-  const spared = replayReturn({
+  const limited = replayReturn({
     startMs: COLD_MS,
     mostPerSecond: MOST_PER_SECOND,
   });
-  t.ok(Math.max(...spared.given.map(countMost)) <= MOST_PER_SECOND);
-  t.ok(spared.given.flat().length > 30, "they carry a part");
-  t.equal(spared.started, bare.started, "and nothing waits");
+  t.ok(Math.max(...limited.sentTimes.map(countMost)) <= MOST_PER_SECOND);
+  t.ok(
+    limited.sentTimes.flat().length > 30,
+    "the cold servers take a part of the load",
+  );
+  t.equal(limited.started, unlimited.started, "the limit delays no request");
   t.end();
 });
--- a/packages/core/cold_starts.ts
+++ b/packages/core/cold_starts.ts
@@ -1,68 +1,73 @@
 /**
- * Until when each backend server is taken for cold, by its own word. Where that
- * is missing, or older than something after which servers are cold, the server
- * is cold for as long as one that starts.
+ * Tracks how long each backend server stays cold after a start. A server
+ * reports its remaining cold time. Without a report, or when the server's
+ * failure domain came back into use after the report, the server counts as cold
+ * for the full start time of its service.
  */
 
-/** How servers of a service must be spared after a start. */
+/** Limits for the servers of a service that are cold after a start. */
 export interface ColdStart {
-  /** Time for which a server that starts is cold, in ms. */
+  /** Time for which a server is cold after it starts, in ms. */
   readonly startMs: number;
-  /** Most requests that all hosts together may send a cold one in any second. */
+  /** Maximum number of requests that all hosts together may send to a cold server within any second. */
   readonly mostPerSecond: number;
 }
 
-/** A server's word. */
+/** The cold state that a backend server reports. */
 export interface ColdWord {
-  /** Identifier of its incarnation. */
+  /** Identifier of the server's incarnation. */
   readonly name: string;
   readonly failureDomain: string;
-  /** How much longer it stays cold as of its word, in ms; undefined if it does not say. */
+  /** Remaining cold time when the server reported it, in ms; undefined if the server does not report it. */
   readonly coldMs: number | undefined;
-  /** Grows with each word of the server. */
+  /** Grows with each report of the server. */
   readonly revision: number;
 }
 
-interface Heard {
-  readonly word: ColdWord;
-  /** Monotonic ms. */
+interface ReceivedReport {
+  readonly report: ColdWord;
+  /** Time at which the host received the report, monotonic ms. */
   readonly at: number;
 }
 
-/** What the host has heard of the servers. */
+/** The latest cold state of each backend server, as received by this host. */
 export class ColdStarts {
-  readonly #heard = new Map<string, Heard>();
-  /** When each failure domain came back into use, monotonic ms. */
+  readonly #received = new Map<string, ReceivedReport>();
+  /** Time at which each failure domain came back into use, monotonic ms. */
   readonly #returnedAt = new Map<string, number>();
 
-  /** Takes over the words of all servers that are listed; one that is read again is no newer for that. */
-  setAll(words: readonly ColdWord[], now: number): void {
-    const listed = new Set(words.map(({ name }) => name));
-    [...this.#heard.keys()].filter((name) => !listed.has(name))
-      .forEach((name) => this.#heard.delete(name));
-    words.forEach((word) => {
-      const known = this.#heard.get(word.name);
-      if (known?.word.revision === word.revision) return;
-      this.#heard.set(word.name, { word, at: now });
+  /**
+   * Replaces the reports of all listed servers. A report that is received again
+   * with the same revision keeps its first receive time: the server's cold time
+   * would otherwise start again with each read of the list.
+   */
+  setAll(reports: readonly ColdWord[], now: number): void {
+    const listed = new Set(reports.map(({ name }) => name));
+    [...this.#received.keys()].filter((name) => !listed.has(name))
+      .forEach((name) => this.#received.delete(name));
+    reports.forEach((report) => {
+      const known = this.#received.get(report.name);
+      if (known?.report.revision === report.revision) return;
+      this.#received.set(report.name, { report, at: now });
     });
   }
 
-  /** Records that the servers of a failure domain, which may be cold, are used again. */
+  /** Records that a failure domain is used again; its servers may be cold. */
   recordReturn(failureDomain: string, now: number): void {
     this.#returnedAt.set(failureDomain, now);
   }
 
-  /** Time for which a server is taken to stay cold, in ms; 0 if it is warm. */
+  /** Returns the remaining time for which a server counts as cold, in ms; 0 if it is warm. */
   getLeftMs(
     name: string,
     { startMs, now }: { readonly startMs: number; readonly now: number },
   ): number {
-    const heard = this.#heard.get(name);
-    if (heard === undefined) return startMs;
-    const { word, at } = heard;
-    const returnedAt = this.#returnedAt.get(word.failureDomain);
+    const received = this.#received.get(name);
+    if (received === undefined) return startMs;
+    const { report, at } = received;
+    const returnedAt = this.#returnedAt.get(report.failureDomain);
     const until = Math.max(
-      at + (word.coldMs ?? startMs),
+      at + (report.coldMs ?? startMs),
       (returnedAt ?? Number.NEGATIVE_INFINITY) + startMs,
     );
     return Math.max(0, until - now);
--- a/packages/core/cold_starts_test.ts
+++ b/packages/core/cold_starts_test.ts
@@ -1,11 +1,11 @@
-/** Until when servers are taken for cold. */
+/** Tests how long backend servers count as cold. */
 import * as tapModule from "tap";
 import * as core from "./mod.ts";
 
 const tap = tapModule.default;
 const START_MS = 3_000;
 
-function buildWord(changes: Partial<core.ColdWord> = {}): core.ColdWord {
+function buildReport(changes: Partial<core.ColdWord> = {}): core.ColdWord {
   return {
     name: "s1@1",
     failureDomain: "a",
@@ -15,43 +15,49 @@
   };
 }
 
-function readLeft(starts: core.ColdStarts, now: number, name = "s1@1") {
+function getRemaining(
+  starts: core.ColdStarts,
+  now: number,
+  name = "s1@1",
+) {
   return starts.getLeftMs(name, { startMs: START_MS, now });
 }
 
-tap.test("a server is cold for as long as it says", (t) => {
+tap.test("a server is cold for the time that it reports", (t) => {
   const starts = new core.ColdStarts();
-  starts.setAll([buildWord({ coldMs: 2_000 })], 100);
-  t.equal(readLeft(starts, 100), 2_000);
-  t.equal(readLeft(starts, 1_100), 1_000);
-  // The same entry, read once more, is no newer.
-  starts.setAll([buildWord({ coldMs: 2_000 })], 2_000);
-  t.equal(readLeft(starts, 2_100), 0);
-  starts.setAll([buildWord({ coldMs: 900, revision: 2 })], 5_000);
-  t.equal(readLeft(starts, 5_000), 900, "it may become cold again");
+  starts.setAll([buildReport({ coldMs: 2_000 })], 100);
+  t.equal(getRemaining(starts, 100), 2_000);
+  t.equal(getRemaining(starts, 1_100), 1_000);
+  // Reading the same entry again does not restart its cold time.
+  starts.setAll([buildReport({ coldMs: 2_000 })], 2_000);
+  t.equal(getRemaining(starts, 2_100), 0);
+  starts.setAll([buildReport({ coldMs: 900, revision: 2 })], 5_000);
+  t.equal(getRemaining(starts, 5_000), 900, "a server may become cold again");
   t.end();
 });
 
-// Guards against full load at a server whose word is missing or was never heard.
-tap.test("a server that says nothing is taken for one that starts", (t) => {
+// Guards against full load on a cold server whose report is missing, or whose
+// entry has no cold time.
+tap.test("a server without a report counts as just started", (t) => {
   const starts = new core.ColdStarts();
-  t.equal(readLeft(starts, 0), START_MS);
-  starts.setAll([buildWord({ coldMs: undefined })], 1_000);
-  t.equal(readLeft(starts, 2_000), 2_000);
-  t.equal(readLeft(starts, 2_000, "s1@2"), START_MS, "another incarnation");
+  t.equal(getRemaining(starts, 0), START_MS);
+  starts.setAll([buildReport({ coldMs: undefined })], 1_000);
+  t.equal(getRemaining(starts, 2_000), 2_000);
+  t.equal(getRemaining(starts, 2_000, "s1@2"), START_MS, "another incarnation");
   t.end();
 });
 
-// Guards against full load at once where an emptied failure domain is used again and its servers' word is from before.
-tap.test("servers of a failure domain that is used again are cold", (t) => {
+// Guards against full load on cold servers when an evacuated failure domain is
+// used again: the servers' last reports date from before the evacuation.
+tap.test("servers are cold when their failure domain is used again", (t) => {
   const starts = new core.ColdStarts();
   starts.setAll(
-    [buildWord(), buildWord({ name: "s2@1", failureDomain: "b" })],
+    [buildReport(), buildReport({ name: "s2@1", failureDomain: "b" })],
     0,
   );
   starts.recordReturn("a", 10_000);
-  t.equal(readLeft(starts, 11_000), 2_000);
-  t.equal(readLeft(starts, 11_000, "s2@1"), 0);
-  t.equal(readLeft(starts, 13_000), 0);
+  t.equal(getRemaining(starts, 11_000), 2_000);
+  t.equal(getRemaining(starts, 11_000, "s2@1"), 0);
+  t.equal(getRemaining(starts, 13_000), 0);
   t.end();
 });
--- a/packages/core/cold_turns.ts
+++ b/packages/core/cold_turns.ts
@@ -1,84 +1,86 @@
 /**
- * When this host may give cold servers a request. A cold server crashes beyond
- * some requests a second from all hosts together, and hosts do not hear of each
- * other's choices in time. So each host has turns of its own, at random moments:
- * as many as its part of what all cold servers of a pool bear together. No host
- * has to know what another one sent, or which others there are, only about how
- * many; and as each draws among the cold servers, none of them gets much more
- * than its part.
+ * Limits the rate at which this host sends requests to cold servers. A cold
+ * server crashes when all hosts together send it more than a certain number of
+ * requests per second, and hosts do not learn of each other's routing decisions
+ * in time. Each host therefore gets its own permits, one per period and with a
+ * random phase, which add up to the host's share of the load that all cold
+ * servers of a pool can take. A host needs only the approximate number of hosts,
+ * not what they send. Each request goes to a randomly drawn cold server, so no
+ * server gets much more than its share.
  *
  * Load pattern: the servers of a failure domain come back together, cold and
- * idle, and each of eighty hosts finds them the least loaded at once.
+ * idle, and all of about eighty hosts see them as the least loaded at once.
  */
 import type * as utils from "@banyangrade/utils";
 
-/** Part of what a cold server bears that is given away on average: requests that are drawn without word of each other come in clumps. */
-const GIVEN_SHARE = 0.25;
-/** Time for which a turn can be used, in ms. Turns that waited for a request would all be used at once by a burst. */
-const TURN_MS = 400;
+/** Average share of a cold server's limit that the permits use: hosts draw independently, so their requests arrive in clusters. */
+const AVERAGE_LOAD_SHARE = 0.25;
+/** Lifetime of a permit, in ms. Permits that never expired would all be used at once by a burst. */
+const PERMIT_MS = 400;
 
 /** The cold servers of a pool at one moment. */
 export interface ColdPool {
   readonly name: string;
-  /** How many are in use. */
+  /** Number of cold servers in use. */
   readonly servers: number;
-  /** Most requests that all hosts together may send one of them in any second. */
+  /** Maximum number of requests that all hosts together may send to one of these servers within any second. */
   readonly mostPerSecond: number;
 }
 
-/** Where a host stands between two turns. */
-interface Progress {
-  /** Part of the time to the next turn that is over. */
-  readonly part: number;
+/** Progress of a host between two permits of a pool. */
+interface PermitState {
+  /** Elapsed fraction of the current period, in [0, 1). */
+  readonly phase: number;
+  /** Time at which `phase` was computed, monotonic ms. */
   readonly at: number;
-  /** Until when the last turn can be used, monotonic ms. */
-  readonly openUntil: number;
+  /** Expiry of the latest permit, monotonic ms. */
+  readonly expiresAt: number;
 }
 
-/** The turns of one host. */
+/** The permits of one host for cold servers. */
 export class ColdTurns {
   readonly #random: utils.Random;
-  readonly #progress = new Map<string, Progress>();
+  readonly #states = new Map<string, PermitState>();
   #hosts: number | undefined;
 
   constructor(options: { readonly random: utils.Random }) {
     this.#random = options.random;
   }
 
-  /** Takes over how many hosts there are; until then there are no turns. */
+  /** Sets the number of hosts; the host gets no permit before that. */
   setHosts(hosts: number): void {
     this.#hosts = Math.max(1, hosts);
   }
 
-  /** Whether it is this host's turn at the cold servers of a pool. */
+  /** Whether this host has a permit to send a request to a cold server of a pool. */
   has(pool: ColdPool, now: number): boolean {
     const periodMs = this.#getPeriodMs(pool);
     if (periodMs === undefined) {
-      this.#progress.delete(pool.name);
+      this.#states.delete(pool.name);
       return false;
     }
-    const known = this.#progress.get(pool.name) ??
-      { part: this.#random.next(), at: now, openUntil: -Infinity };
-    const reached = known.part + (now - known.at) / periodMs;
-    const part = reached % 1;
-    const openUntil = reached >= 1
-      ? now - part * periodMs + TURN_MS
-      : known.openUntil;
-    this.#progress.set(pool.name, { part, at: now, openUntil });
-    return now <= openUntil;
+    const known = this.#states.get(pool.name) ??
+      { phase: this.#random.next(), at: now, expiresAt: -Infinity };
+    const elapsed = known.phase + (now - known.at) / periodMs;
+    const phase = elapsed % 1;
+    const expiresAt = elapsed >= 1
+      ? now - phase * periodMs + PERMIT_MS
+      : known.expiresAt;
+    this.#states.set(pool.name, { phase, at: now, expiresAt });
+    return now <= expiresAt;
   }
 
-  /** Records that the turn was used. */
+  /** Uses up the current permit for a pool. */
   take(pool: string): void {
-    const known = this.#progress.get(pool);
+    const known = this.#states.get(pool);
     if (known === undefined) return;
-    this.#progress.set(pool, { ...known, openUntil: -Infinity });
+    this.#states.set(pool, { ...known, expiresAt: -Infinity });
   }
 
-  /** Between two turns of this host, in ms; undefined while it has none. */
+  /** Returns the time between two permits of this host, in ms; undefined while the host gets none. */
   #getPeriodMs({ servers, mostPerSecond }: ColdPool): number | undefined {
-    const inAll = GIVEN_SHARE * mostPerSecond * servers;
-    if (this.#hosts === undefined || inAll <= 0) return undefined;
-    return 1_000 * this.#hosts / inAll;
+    const permitsPerSecond = AVERAGE_LOAD_SHARE * mostPerSecond * servers;
+    if (this.#hosts === undefined || permitsPerSecond <= 0) return undefined;
+    return 1_000 * this.#hosts / permitsPerSecond;
   }
 }
--- a/packages/core/cold_turns_fuzz_test.ts
+++ b/packages/core/cold_turns_fuzz_test.ts
@@ -1,4 +1,4 @@
-/** Requests of many hosts at cold servers: never more in a second than those bear. */
+/** Checks that many hosts together never exceed the request rate that cold servers can take. */
 import * as fc from "fast-check";
 import * as tapModule from "tap";
 import * as utils from "@banyangrade/utils";
@@ -11,13 +11,13 @@
 
 interface Host {
   readonly joinsAt: number;
-  /** Moment at which its process starts anew, and forgets its turns. */
+  /** Time at which the host's process restarts and loses its permit state. */
   readonly restartsAt: number;
   readonly pause: { readonly at: number; readonly ms: number };
-  /** Part of the hosts of which it has heard. */
-  readonly heardShare: number;
-  /** When it first has a request, and whether it always has one from then on. */
-  readonly asksFrom: number;
+  /** Share of all hosts that this host knows of. */
+  readonly knownShare: number;
+  /** Time from which the host always has a request to send. */
+  readonly busyFrom: number;
 }
 
 interface Fleet {
@@ -31,8 +31,8 @@
   joinsAt: fc.oneof(fc.constant(0), fc.nat(4_000)),
   restartsAt: fc.oneof(fc.constant(Number.POSITIVE_INFINITY), fc.nat(6_000)),
   pause: fc.record({ at: fc.nat(6_000), ms: fc.nat(3_000) }),
-  heardShare: fc.double({ min: 0.8, max: 1, noNaN: true }),
-  asksFrom: fc.oneof(fc.constant(0), fc.nat(6_000)),
+  knownShare: fc.double({ min: 0.8, max: 1, noNaN: true }),
+  busyFrom: fc.oneof(fc.constant(0), fc.nat(6_000)),
 });
 
 const FLEET: fc.Arbitrary<Fleet> = fc.record({
@@ -42,37 +42,37 @@
   seed: fc.integer(),
 });
 
-/** Lists when each server gets something from the hosts, which ask all the time. */
+/** Simulates hosts that always have a request to send; returns the send times of each server. */
 function replayFleet({ hosts, coldMs, servers, seed }: Fleet): number[][] {
   const pool = { name: "pool", servers, mostPerSecond: MOST_PER_SECOND };
-  const draws = utils.createRandom(seed);
+  const random = utils.createRandom(seed);
   const sent = Array.from({ length: servers }, (): number[] => []);
   hosts.forEach((host) => {
-    const build = () => {
-      const turns = new core.ColdTurns({
-        random: utils.createRandom(draws.below(2 ** 31)),
+    const createPermits = () => {
+      const permits = new core.ColdTurns({
+        random: utils.createRandom(random.below(2 ** 31)),
       });
-      turns.setHosts(Math.ceil(hosts.length * host.heardShare));
-      return turns;
+      permits.setHosts(Math.ceil(hosts.length * host.knownShare));
+      return permits;
     };
-    let turns = build();
+    let permits = createPermits();
     let restarted = false;
-    // Its own clock stands while it is paused.
-    let stoodMs = 0;
+    // The host's own clock stands still while its process is paused.
+    let pausedMs = 0;
     for (let now = host.joinsAt; now < coldMs; now += STEP_MS) {
       if (now >= host.restartsAt && !restarted) {
         restarted = true;
-        turns = build();
+        permits = createPermits();
       }
       const { at, ms } = host.pause;
       if (now >= at && now < at + ms) {
-        stoodMs += STEP_MS;
+        pausedMs += STEP_MS;
         continue;
       }
-      if (now < host.asksFrom) continue;
-      if (!turns.has(pool, now - stoodMs)) continue;
-      turns.take(pool.name);
-      sent[draws.below(servers)].push(now);
+      if (now < host.busyFrom) continue;
+      if (!permits.has(pool, now - pausedMs)) continue;
+      permits.take(pool.name);
+      sent[random.below(servers)].push(now);
     }
   });
   return sent.map((times) => times.toSorted((a, b) => a - b));
@@ -91,8 +91,10 @@
   }, 0);
 }
 
-// Guards against a cold server that crashes under the first requests of hosts that do not hear of each other.
-tap.test("any fleet that comes and goes keeps to what a cold server bears", (t) => {
+// Guards against an overload that crashes a cold server: hosts send their first
+// requests without knowing what other hosts send, while hosts join, restart and
+// are suspended.
+tap.test("hosts together never exceed the rate limit of a cold server", (t) => {
   fc.assert(
     fc.property(
       FLEET,
@@ -103,30 +105,32 @@
   t.end();
 });
 
-// Guards against a burst that uses at once all the turns that nobody needed before.
-tap.test("turns that were not used are lost", (t) => {
+// Guards against a burst of requests that uses all permits accumulated during an
+// idle time at once.
+tap.test("unused permits expire", (t) => {
   const hosts = Array.from({ length: 78 }, () => ({
     joinsAt: 0,
     restartsAt: Number.POSITIVE_INFINITY,
     pause: { at: 0, ms: 0 },
-    heardShare: 1,
-    asksFrom: 8_000,
+    knownShare: 1,
+    busyFrom: 8_000,
   }));
   [1, 15].forEach((servers) => {
     const sent = replayFleet({ hosts, coldMs: 12_000, servers, seed: 1 });
     t.ok(countMostInSecond(sent) <= MOST_PER_SECOND);
-    t.ok(sent.flat().length > 10 * servers, "and some are used");
+    t.ok(sent.flat().length > 10 * servers, "some permits are used");
   });
   t.end();
 });
 
-// Guards against a host that takes itself for one of few before it has heard of the others.
-tap.test("a host that does not know how many there are has no turn", (t) => {
-  const turns = new core.ColdTurns({ random: utils.createRandom(1) });
+// Guards against a host that sends more than its share because it has just
+// started and does not know of the other hosts yet.
+tap.test("a host gets no permit before it knows the number of hosts", (t) => {
+  const permits = new core.ColdTurns({ random: utils.createRandom(1) });
   const pool = { name: "pool", servers: 1, mostPerSecond: MOST_PER_SECOND };
-  t.notOk(turns.has(pool, 0));
-  t.notOk(turns.has(pool, 60_000));
-  turns.setHosts(1);
-  t.ok([0, 100, 200, 300].some((ms) => turns.has(pool, 61_000 + ms)));
+  t.notOk(permits.has(pool, 0));
+  t.notOk(permits.has(pool, 60_000));
+  permits.setHosts(1);
+  t.ok([0, 100, 200, 300].some((ms) => permits.has(pool, 61_000 + ms)));
   t.end();
 });
--- a/packages/core/domain_silence.ts
+++ b/packages/core/domain_silence.ts
@@ -1,52 +1,56 @@
 /**
- * Which failure domains have fallen silent as a whole.
+ * Detects failure domains that have become unreachable as a whole.
  *
- * Load pattern: a failure domain is cut off while its servers carry their part
- * of the load. Each of them would be given up by itself, after some requests
- * that wait there in vain; with twenty of them that takes longer than the cut
- * lasts.
+ * Load pattern: the network to a failure domain fails while its servers carry
+ * their share of the load. Without this detection, each server would be ejected
+ * separately, after some requests have timed out at it; with twenty servers that
+ * takes longer than the network failure lasts.
  */
 import * as constants from "./constants.ts";
 import * as serverState from "./server_state.ts";
 
-/** Servers of a failure domain that must be silent before the others are given up too. */
-const SILENT_SERVERS = 2;
-/** Time within which they must have been found silent, in ms: that of a few attempts. */
-const WITHIN_MS = 2_000;
+/** Number of unresponsive servers in a failure domain at which all its servers are ejected. */
+const MIN_UNRESPONSIVE_SERVERS = 2;
+/** Time window in which these servers must have failed to respond, in ms: the duration of a few attempts. */
+const DETECTION_WINDOW_MS = 2_000;
 
-/** A server that gave no sign of life to an attempt. */
-export interface SilentServer {
+/** A server that did not respond to an attempt. */
+export interface UnresponsiveServer {
   readonly name: string;
   readonly failureDomain: string;
 }
 
-/** Keeps which servers of each failure domain are silent. */
+/** Tracks the unresponsive servers of each failure domain. */
 export class DomainSilences {
-  readonly #silentSince = new Map<string, Map<string, number>>();
+  readonly #unresponsiveSince = new Map<string, Map<string, number>>();
 
   /**
-   * Records that a server kept silent; true if its failure domain has fallen
-   * silent with it: further servers did, and none there has answered since.
+   * Records that a server did not respond. Returns true if its failure domain
+   * counts as unreachable: enough of its servers did not respond within the time
+   * window, and no server there has answered since.
    */
-  recordSilent({ name, failureDomain }: SilentServer, now: number): boolean {
-    const known = this.#silentSince.get(failureDomain) ?? [];
+  recordSilent(
+    { name, failureDomain }: UnresponsiveServer,
+    now: number,
+  ): boolean {
+    const known = this.#unresponsiveSince.get(failureDomain) ?? [];
     const recent = new Map(
-      [...known].filter(([, since]) => now - since <= WITHIN_MS),
+      [...known].filter(([, since]) => now - since <= DETECTION_WINDOW_MS),
     );
     recent.set(name, now);
-    this.#silentSince.set(failureDomain, recent);
-    return recent.size >= SILENT_SERVERS;
+    this.#unresponsiveSince.set(failureDomain, recent);
+    return recent.size >= MIN_UNRESPONSIVE_SERVERS;
   }
 
   /** Records that a server of a failure domain answered. */
   recordHeard(failureDomain: string): void {
-    this.#silentSince.delete(failureDomain);
+    this.#unresponsiveSince.delete(failureDomain);
   }
 }
 
 /**
- * Ejects the servers of a failure domain, but for those of a pool that has no
- * others in use.
+ * Ejects the servers of a failure domain. Servers of a pool that has no server
+ * in use in another failure domain stay in use.
  *
  * @example
  * abandonDomain(table.listServers(), { failureDomain: "rosenheim", now });
--- a/packages/core/domain_silence_test.ts
+++ b/packages/core/domain_silence_test.ts
@@ -1,4 +1,4 @@
-/** A failure domain that falls silent, replayed: how many requests are sent there in vain. */
+/** Simulates a failure domain that stops responding, and counts the attempts that are lost there. */
 import * as tapModule from "tap";
 import * as core from "./mod.ts";
 import * as testing from "./testing.ts";
@@ -24,13 +24,16 @@
   return dispatcher;
 }
 
-/** Sends requests one after the other; servers of `silent` take no connection. Returns where attempts went. */
+/**
+ * Sends requests one after the other; servers in the failure domains of `unreachable`
+ * accept no connection. Returns the server of each attempt.
+ */
 function sendRequests(
   dispatcher: core.Dispatcher,
-  { count, at, silent }: {
+  { count, at, unreachable }: {
     readonly count: number;
     readonly at: number;
-    readonly silent: ReadonlySet<string>;
+    readonly unreachable: ReadonlySet<string>;
   },
 ): string[] {
   return Array.from({ length: count }, (_, index) => {
@@ -47,9 +50,9 @@
       if (start?.kind !== "start") return tried;
       const { attempt, server } = start;
       tried.push(server.name);
-      const isSilent = silent.has(server.failureDomain ?? "");
+      const isUnreachable = unreachable.has(server.failureDomain ?? "");
       effects = dispatcher.handle(
-        isSilent
+        isUnreachable
           ? {
             kind: "failed",
             requestId: id,
@@ -69,54 +72,69 @@
   return tried.filter((name) => name.startsWith(failureDomain)).length;
 }
 
-// Guards against requests that wait in vain at one server after the other of a failure domain that is cut off.
-tap.test("a silent failure domain is given up after two servers", (t) => {
+// Guards against requests that time out at one server after another of an
+// unreachable failure domain.
+tap.test("an unresponsive failure domain is ejected after two servers", (t) => {
   const dispatcher = startHost(DOMAINS);
   const tried = sendRequests(dispatcher, {
     count: 200,
     at: 1_000,
-    silent: new Set(["b"]),
+    unreachable: new Set(["b"]),
   });
   t.equal(countIn(tried, "b"), 2);
-  t.equal(countIn(tried, "a") + countIn(tried, "c"), 200, "all are served");
+  t.equal(
+    countIn(tried, "a") + countIn(tried, "c"),
+    200,
+    "all requests are served",
+  );
   t.end();
 });
 
-// Guards against a failure domain that stays given up after it is back.
-tap.test("a failure domain that is back is used again", (t) => {
+// Guards against a failure domain that stays ejected after it is reachable again.
+tap.test("a failure domain that responds again is used again", (t) => {
   const dispatcher = startHost(DOMAINS);
-  sendRequests(dispatcher, { count: 50, at: 1_000, silent: new Set(["b"]) });
+  sendRequests(dispatcher, {
+    count: 50,
+    at: 1_000,
+    unreachable: new Set(["b"]),
+  });
   const tried = sendRequests(dispatcher, {
     count: 200,
     at: 4_000,
-    silent: new Set(),
+    unreachable: new Set(),
   });
   t.ok(countIn(tried, "b") > 0);
   t.end();
 });
 
-// Guards against a host that gives up all servers that it knows: those that are left are better than none.
-tap.test("the last failure domain of a pool is not given up", (t) => {
+// Guards against a host that ejects all servers of a pool at once: some of them
+// may still respond.
+tap.test("the last failure domain of a pool is not ejected", (t) => {
   const dispatcher = startHost(["b"]);
   const tried = sendRequests(dispatcher, {
     count: 50,
     at: 1_000,
-    silent: new Set(["b"]),
+    unreachable: new Set(["b"]),
   });
-  t.equal(new Set(tried).size, SERVERS_EACH, "each is given up by itself");
+  t.equal(
+    new Set(tried).size,
+    SERVERS_EACH,
+    "each server is ejected separately",
+  );
   t.end();
 });
 
-// Guards against a healthy failure domain that is given up for two servers that crashed.
-tap.test("a failure domain in which others answer is not silent", (t) => {
-  const silences = new core.DomainSilences();
-  t.notOk(silences.recordSilent({ name: "b1", failureDomain: "b" }, 0));
-  silences.recordHeard("b");
-  t.notOk(silences.recordSilent({ name: "b2", failureDomain: "b" }, 100));
+// Guards against the ejection of a healthy failure domain in which two servers
+// crashed.
+tap.test("a failure domain with answering servers is not unresponsive", (t) => {
+  const detector = new core.DomainSilences();
+  t.notOk(detector.recordSilent({ name: "b1", failureDomain: "b" }, 0));
+  detector.recordHeard("b");
+  t.notOk(detector.recordSilent({ name: "b2", failureDomain: "b" }, 100));
   t.notOk(
-    silences.recordSilent({ name: "b3", failureDomain: "b" }, 2_500),
-    "too long after the one before",
+    detector.recordSilent({ name: "b3", failureDomain: "b" }, 2_500),
+    "too long after the previous server",
   );
-  t.ok(silences.recordSilent({ name: "b4", failureDomain: "b" }, 2_600));
+  t.ok(detector.recordSilent({ name: "b4", failureDomain: "b" }, 2_600));
   t.end();
 });
--- a/packages/core/evacuations.ts
+++ b/packages/core/evacuations.ts
@@ -1,43 +1,46 @@
 /**
- * Failure domains that the operators have emptied: their backend servers get
- * nothing more until the order is withdrawn.
+ * Failure domains that operators have evacuated: hosts send no work to their
+ * backend servers until the evacuation ends.
  *
  * Load pattern: all servers of a failure domain stop taking work within one
  * second while traffic goes on everywhere, and come back together, cold.
  */
 
-/** What an operator's entry says of a failure domain, as of a store revision. */
+/** The evacuation state of a failure domain, as an operator set it at a store revision. */
 export interface EvacuationChange {
   readonly failureDomain: string;
   readonly evacuated: boolean;
   readonly revision: number;
 }
 
-/** The newest order for each failure domain. */
+/** The newest evacuation change of each failure domain. */
 export class Evacuations {
-  readonly #orders = new Map<string, EvacuationChange>();
+  readonly #changes = new Map<string, EvacuationChange>();
   #revision = 0;
 
   /**
-   * Takes over one change; false if it changes nothing. News of an older
-   * revision, as a relay that is behind may bring it, is passed over.
+   * Applies a change. Returns whether it starts or ends an evacuation. A change
+   * with an old revision, as from a relay that lags behind, is ignored.
    */
   apply(change: EvacuationChange): boolean {
-    const known = this.#orders.get(change.failureDomain);
+    const known = this.#changes.get(change.failureDomain);
     if (change.revision <= (known?.revision ?? 0)) return false;
-    this.#orders.set(change.failureDomain, change);
+    this.#changes.set(change.failureDomain, change);
     this.#revision = Math.max(this.#revision, change.revision);
     return (known?.evacuated ?? false) !== change.evacuated;
   }
 
-  /** Takes over all orders as of a revision; lists the failure domains for which that changes anything. */
+  /**
+   * Replaces all evacuations with those of a store revision. Returns the failure
+   * domains whose evacuation starts or ends with it.
+   */
   setAll(
     evacuated: ReadonlyMap<string, number>,
     revision: number,
   ): readonly string[] {
     if (revision < this.#revision) return [];
     this.#revision = revision;
-    const begun = [...evacuated].filter(([failureDomain, changedAt]) =>
+    const started = [...evacuated].filter(([failureDomain, changedAt]) =>
       this.apply({ failureDomain, evacuated: true, revision: changedAt })
     );
     const ended = this.list().filter((failureDomain) =>
@@ -46,16 +49,16 @@
     ended.forEach((failureDomain) =>
       this.apply({ failureDomain, evacuated: false, revision })
     );
-    return [...begun.map(([failureDomain]) => failureDomain), ...ended];
+    return [...started.map(([failureDomain]) => failureDomain), ...ended];
   }
 
   has(failureDomain: string): boolean {
-    return this.#orders.get(failureDomain)?.evacuated ?? false;
+    return this.#changes.get(failureDomain)?.evacuated ?? false;
   }
 
-  /** The failure domains that are emptied now. */
+  /** Lists the failure domains that are evacuated now. */
   list(): string[] {
-    return [...this.#orders.values()].filter(({ evacuated }) => evacuated)
+    return [...this.#changes.values()].filter(({ evacuated }) => evacuated)
       .map(({ failureDomain }) => failureDomain);
   }
 }
--- a/packages/core/freshness.ts
+++ b/packages/core/freshness.ts
@@ -1,87 +1,90 @@
 /**
- * How long a host may rely on what it has read, and what time it is. A belief
- * is proved current at the moment at which the read was sent that confirmed it.
+ * Clocks that stay correct across process suspensions and clock steps, and the
+ * age of cached state. Cached state is known to have been current at the time at
+ * which the host sent the read that confirmed it, not when the answer arrived.
  */
 
-/** One reading of the clocks, in ms. */
+/** Simultaneous readings of both clocks, in ms. */
 export interface ClockReading {
-  /** Monotonic; may stand still while the process is suspended. */
+  /** Monotonic time; may stand still while the process is suspended. */
   readonly now: number;
-  /** Time of day; may step. */
+  /** Wall-clock time; may step. */
   readonly wall: number;
 }
 
-/** Difference of the two clocks' progress that is taken for a suspension, in ms. */
-const GAP_MS = 250;
+/** Difference between the progress of the two clocks that counts as a suspension, in ms. */
+const SUSPENSION_THRESHOLD_MS = 250;
 
 /**
- * A clock for leases and proofs. The monotonic clock may stand still while a
- * process is suspended; a lease that ran out meanwhile would seem to hold, and
- * a key withdrawn meanwhile to be good. The time of day has then moved further,
- * and what it moved more is added here. A step of the time of day looks the
- * same and ends leases and proofs early, which costs one more read.
+ * A clock for leases and for the age of cached state. The monotonic clock may
+ * stand still while a process is suspended: a lease that expired meanwhile would
+ * still seem to be held, and a key that was withdrawn meanwhile would still be
+ * accepted. The wall clock advances during the suspension, so this clock adds
+ * the difference. A forward step of the wall clock looks the same and expires
+ * leases and cached state early, which only costs another read.
  */
 export class SuspensionClock {
   #offset: number | undefined;
-  #skipped = 0;
+  #suspendedMs = 0;
 
-  /** Returns a time that counts suspensions. */
+  /** Returns the monotonic time including suspensions. */
   read({ now, wall }: ClockReading): number {
     const offset = wall - now;
-    const moved = offset - (this.#offset ?? offset);
+    const drift = offset - (this.#offset ?? offset);
     this.#offset = offset;
-    if (moved > GAP_MS) this.#skipped += moved;
-    return now + this.#skipped;
+    if (drift > SUSPENSION_THRESHOLD_MS) this.#suspendedMs += drift;
+    return now + this.#suspendedMs;
   }
 }
 
-/** The moment up to which a belief is proved to have been current. */
+/** The latest time at which cached state is known to have been current. */
 export class Proof {
-  #provedAt = Number.NEGATIVE_INFINITY;
+  #currentAt = Number.NEGATIVE_INFINITY;
 
-  /** Takes over a read that was sent at `sentAt` and confirmed the belief. */
+  /** Records a read that was sent at `sentAt` and confirmed the cached state. */
   confirm(sentAt: number): void {
-    this.#provedAt = Math.max(this.#provedAt, sentAt);
+    this.#currentAt = Math.max(this.#currentAt, sentAt);
   }
 
-  /** Age of the proof in ms; infinite without one. */
+  /** Returns the time since the cached state was last known to be current, in ms; infinite if it was never confirmed. */
   getAge(now: number): number {
-    return now - this.#provedAt;
+    return now - this.#currentAt;
   }
 }
 
-/** Distance from the other hosts' time at which the own one is doubted, in ms: their word is some hops of up to a second old. */
-const TRUST_MS = 1_000;
+/** Largest accepted difference from the other hosts' time, in ms: their reports are up to a second old after several hops. */
+const MAX_SKEW_MS = 1_000;
 
-/** What is known of the other hosts' time. */
+/** The times that other hosts have published. */
 export interface OthersTime {
-  /** Their true times of day as they are now, a little late. */
+  /** Corrected wall-clock time of each other host, extrapolated to now; slightly late because of the transmission. */
   readonly others: readonly number[];
 }
 
 /**
- * The true time of day of a host whose own clock may jump. It goes on at the
- * pace of the monotonic clock. Where the time of day moved against that, it was
- * a step, to be ignored, or a suspension, to be followed; the other hosts tell.
+ * A wall clock that is corrected by the times of the other hosts. It advances
+ * with the monotonic clock. When the local wall clock moves against the
+ * monotonic clock, the cause is either a clock step, which must be ignored, or a
+ * suspension, which must be followed; the times of the other hosts show which.
  */
 export class TrueClock {
   #offset: number | undefined;
 
-  /** Returns the true time of day. */
+  /** Returns the corrected wall-clock time. */
   read({ now, wall }: ClockReading): number {
     this.#offset ??= wall - now;
     return now + this.#offset;
   }
 
-  /** Takes over what the other hosts last published as their time; returns by how much that moved the time, in ms. */
+  /** Compares the clock with the median time of the other hosts and corrects it; returns the correction in ms. */
   update(reading: ClockReading, { others }: OthersTime): number {
     if (others.length === 0) return 0;
     const sorted = others.toSorted((a, b) => a - b);
-    const theirs = sorted[Math.floor(sorted.length / 2)];
+    const median = sorted[Math.floor(sorted.length / 2)];
     const own = this.read(reading);
-    if (Math.abs(own - theirs) <= TRUST_MS) return 0;
-    const wallFits = Math.abs(reading.wall - theirs) <= TRUST_MS;
-    this.#offset = (wallFits ? reading.wall : theirs) - reading.now;
+    if (Math.abs(own - median) <= MAX_SKEW_MS) return 0;
+    const isWallCorrect = Math.abs(reading.wall - median) <= MAX_SKEW_MS;
+    this.#offset = (isWallCorrect ? reading.wall : median) - reading.now;
     return this.read(reading) - own;
   }
 }
--- a/packages/core/freshness_test.ts
+++ b/packages/core/freshness_test.ts
@@ -1,14 +1,14 @@
-/** Clocks that jump and processes that are suspended. */
+/** Tests the clocks with clock steps and process suspensions. */
 import * as tapModule from "tap";
 import * as core from "./mod.ts";
 
 const tap = tapModule.default;
 const START = 1_700_000_000_000;
 
-// A host is suspended for five seconds; its monotonic clock does not count
-// them. A key is withdrawn meanwhile. On waking, its last proof seems a moment
-// old, and the key would be served.
-tap.test("a suspension ages a proof although the clock stood still", (t) => {
+// Guards against requests with a withdrawn key: a host is suspended for five
+// seconds, which its monotonic clock does not count, and the key is withdrawn
+// meanwhile. After the suspension the cached configuration must not seem fresh.
+tap.test("a suspension counts in the age of cached state", (t) => {
   const clock = new core.SuspensionClock();
   const proof = new core.Proof();
   proof.confirm(clock.read({ now: 1_000, wall: START }));
@@ -17,7 +17,7 @@
   t.end();
 });
 
-tap.test("small differences of the clocks do not add up", (t) => {
+tap.test("small differences between the clocks do not accumulate", (t) => {
   const clock = new core.SuspensionClock();
   const last = Array.from(
     { length: 100 },
@@ -28,9 +28,9 @@
   t.end();
 });
 
-// The time of day of one host jumps two seconds ahead. Its requests would be
-// counted in the wrong usage window.
-tap.test("a step of the time of day does not move the true time", (t) => {
+// Guards against requests that are counted in the wrong usage window because the
+// wall clock of one host steps two seconds forward.
+tap.test("a step of the wall clock does not move the corrected time", (t) => {
   const clock = new core.TrueClock();
   clock.read({ now: 0, wall: START });
   const reading = { now: 1_000, wall: START + 3_000 };
@@ -41,9 +41,10 @@
   t.end();
 });
 
-// A host is suspended: the others' word shows that the time of day is right
-// and the monotonic clock behind.
-tap.test("after a suspension the true time follows the time of day", (t) => {
+// Guards against a corrected time that stays behind after a suspension: the times
+// of the other hosts show that the wall clock is right and the monotonic clock
+// is behind.
+tap.test("after a suspension the corrected time follows the wall clock", (t) => {
   const clock = new core.TrueClock();
   clock.read({ now: 0, wall: START });
   const reading = { now: 1_000, wall: START + 8_000 };
@@ -54,8 +55,9 @@
   t.end();
 });
 
-// A host starts while its time of day is off: only the others know better.
-tap.test("a host that starts with a wrong clock takes the others' time", (t) => {
+// Guards against a host that keeps a wrong time because its wall clock was already
+// wrong when it started.
+tap.test("a host that starts with a wrong clock takes the other hosts' time", (t) => {
   const clock = new core.TrueClock();
   const reading = { now: 500, wall: START + 60_000 };
   clock.read(reading);
--- a/packages/core/quarantine.ts
+++ b/packages/core/quarantine.ts
@@ -1,41 +1,42 @@
 /**
- * Poison requests: a request that was in flight as servers were lost is
- * suspect. Marks spread between all hosts as a grow-only set of (fingerprint,
- * server), so every host counts the same servers once.
+ * Quarantine of poison requests. A request that was in flight at a server when
+ * that server was lost is a suspect. Hosts replicate suspect marks as a grow-only
+ * set of (fingerprint, server) pairs, so every host counts each lost server once.
  */
 import * as constants from "./constants.ts";
 import type * as events from "./events.ts";
 
-/** A mark and when it lapses. */
+/** A suspect mark with its expiry. */
 export interface PoisonMark extends events.SuspectMark {
-  /** Wall-clock ms, the same on each host. */
+  /** Expiry as wall-clock time in ms, the same on each host. */
   readonly until: number;
 }
 
-interface Suspicion {
+interface Suspect {
+  /** Servers that were lost while the request was in flight there. */
   readonly servers: Set<string>;
-  /** Servers that were lost before it was answered whole; their loss had another cause. */
-  readonly absolved: Set<string>;
-  /** Until when another host is taken to be trying it again, monotonic ms. */
+  /** Servers that were lost before the request later completed elsewhere; their loss had another cause. */
+  readonly cleared: Set<string>;
+  /** Time until which another host may be retrying the request, monotonic ms. */
   heldUntil: number;
 }
 
-/** Fingerprints that are remembered; the oldest give way. */
-const MAX_SUSPICIONS = 10_000;
+/** Maximum number of tracked fingerprints; the oldest are evicted first. */
+const MAX_SUSPECTS = 10_000;
 
 /** Options of {@link SuspectTable}. */
 export interface SuspectOptions {
-  /** Servers lost to a request before it runs apart from others like it. @default 1 */
+  /** Number of servers lost to a request at which it no longer runs beside other suspects. @default 1 */
   readonly isolateAfter?: number;
-  /** Servers lost to a request before it is refused. @default constants.POISON_LIMIT */
+  /** Number of servers lost to a request at which it is refused. @default constants.POISON_LIMIT */
   readonly poisonLimit?: number;
-  /** Whether copies wait while another host may be trying the request. @default true */
+  /** Whether copies of a request are refused while another host may be retrying it. @default true */
   readonly holdsForeign?: boolean;
 }
 
-/** Fingerprints and the servers that were lost with them in flight. */
+/** Maps request fingerprints to the servers that were lost while these requests were in flight. */
 export class SuspectTable {
-  readonly #suspicions = new Map<string, Suspicion>();
+  readonly #suspects = new Map<string, Suspect>();
   readonly #isolateAfter: number;
   readonly #poisonLimit: number;
   readonly #holdsForeign: boolean;
@@ -48,80 +49,80 @@
 
   /** Adds a mark that this host made. */
   add(mark: events.SuspectMark): void {
-    const suspicion = this.#get(mark.fingerprint);
-    suspicion.absolved.delete(mark.server);
-    suspicion.servers.add(mark.server);
+    const suspect = this.#get(mark.fingerprint);
+    suspect.cleared.delete(mark.server);
+    suspect.servers.add(mark.server);
   }
 
   /**
-   * Adds a mark that another host made. That host may be trying the request on
-   * a second server just now; a copy that ran here beside it would take a third.
+   * Adds a mark that another host made. That host may be retrying the request on
+   * a second server now; a copy that ran here at the same time could crash a third.
    */
   addForeign(mark: events.SuspectMark, now: number): void {
-    const suspicion = this.#get(mark.fingerprint);
-    const { servers, absolved } = suspicion;
-    if (servers.has(mark.server) || absolved.has(mark.server)) return;
-    suspicion.servers.add(mark.server);
+    const suspect = this.#get(mark.fingerprint);
+    const { servers, cleared } = suspect;
+    if (servers.has(mark.server) || cleared.has(mark.server)) return;
+    suspect.servers.add(mark.server);
     if (!this.#holdsForeign) return;
-    suspicion.heldUntil = now + constants.SUSPECT_HOLD_MS;
+    suspect.heldUntil = now + constants.SUSPECT_HOLD_MS;
   }
 
-  #get(fingerprint: string): Suspicion {
-    const known = this.#suspicions.get(fingerprint);
+  #get(fingerprint: string): Suspect {
+    const known = this.#suspects.get(fingerprint);
     if (known !== undefined) return known;
-    this.#forgetOldest();
-    const suspicion = {
+    this.#removeOldest();
+    const suspect = {
       servers: new Set<string>(),
-      absolved: new Set<string>(),
+      cleared: new Set<string>(),
       heldUntil: 0,
     };
-    this.#suspicions.set(fingerprint, suspicion);
-    return suspicion;
+    this.#suspects.set(fingerprint, suspect);
+    return suspect;
   }
 
   /**
-   * Records that it was answered whole. Other hosts go on telling of its marks
-   * for a while, and requests that are alike, such as lookups, would be refused
-   * for losses that had nothing to do with them.
+   * Records that the request completed. Other hosts keep sending its marks for
+   * a while; without the cleared servers, later requests with the same
+   * fingerprint, such as lookups, would be refused for unrelated server losses.
    */
   clear(fingerprint: string): void {
-    const suspicion = this.#suspicions.get(fingerprint);
-    if (suspicion === undefined) return;
-    suspicion.servers.forEach((server) => suspicion.absolved.add(server));
-    suspicion.servers.clear();
-    suspicion.heldUntil = 0;
+    const suspect = this.#suspects.get(fingerprint);
+    if (suspect === undefined) return;
+    suspect.servers.forEach((server) => suspect.cleared.add(server));
+    suspect.servers.clear();
+    suspect.heldUntil = 0;
   }
 
-  #forgetOldest(): void {
-    if (this.#suspicions.size < MAX_SUSPICIONS) return;
-    const [oldest] = this.#suspicions.keys();
-    this.#suspicions.delete(oldest);
+  #removeOldest(): void {
+    if (this.#suspects.size < MAX_SUSPECTS) return;
+    const [oldest] = this.#suspects.keys();
+    this.#suspects.delete(oldest);
   }
 
-  /** Whether enough servers were lost with it in flight to run it apart. */
+  /** Whether enough servers were lost to the request that it must not run beside other suspects. */
   isSuspect(fingerprint: string): boolean {
-    const servers = this.#suspicions.get(fingerprint)?.servers;
+    const servers = this.#suspects.get(fingerprint)?.servers;
     return (servers?.size ?? 0) >= this.#isolateAfter;
   }
 
-  /** How long copies of it are refused because another host may be running it, in ms. */
+  /** Returns how much longer copies of the request are refused because another host may be running it, in ms. */
   getHold(fingerprint: string, now: number): number {
-    const until = this.#suspicions.get(fingerprint)?.heldUntil ?? 0;
+    const until = this.#suspects.get(fingerprint)?.heldUntil ?? 0;
     return Math.max(0, until - now);
   }
 
-  /** Whether it is refused: enough servers were lost to it. */
+  /** Whether enough servers were lost to the request that it must be refused. */
   isPoison(fingerprint: string): boolean {
-    const servers = this.#suspicions.get(fingerprint)?.servers;
+    const servers = this.#suspects.get(fingerprint)?.servers;
     return (servers?.size ?? 0) >= this.#poisonLimit;
   }
 }
 
-/** Marks of all hosts until they lapse, as the overlay keeps them. */
+/** The marks of all hosts until they expire, as the overlay keeps them. */
 export class MarkSet {
   readonly #marks = new Map<string, PoisonMark>();
 
-  /** Adds a mark; returns whether it was new. */
+  /** Adds a mark; returns whether it is new. */
   add(mark: PoisonMark): boolean {
     const id = `${mark.fingerprint}/${mark.server}`;
     if (this.#marks.has(id)) return false;
@@ -133,12 +134,12 @@
     return [...this.#marks.values()];
   }
 
-  /** Drops the marks that have lapsed; returns fingerprints that have none left. */
+  /** Removes the expired marks; returns the fingerprints that have no mark left. */
   removeLapsed(wall: number): string[] {
-    const lapsed = [...this.#marks].filter(([, mark]) => mark.until <= wall);
-    lapsed.forEach(([id]) => this.#marks.delete(id));
-    const left = new Set(this.list().map((mark) => mark.fingerprint));
-    return lapsed.map(([, mark]) => mark.fingerprint)
-      .filter((fingerprint) => !left.has(fingerprint));
+    const expired = [...this.#marks].filter(([, mark]) => mark.until <= wall);
+    expired.forEach(([id]) => this.#marks.delete(id));
+    const remaining = new Set(this.list().map((mark) => mark.fingerprint));
+    return expired.map(([, mark]) => mark.fingerprint)
+      .filter((fingerprint) => !remaining.has(fingerprint));
   }
 }
