--- a/packages/core/constants.ts
+++ b/packages/core/constants.ts
@@ -26,7 +26,7 @@
 export const SUSPECT_HOLD_MS = 10_000;
 /** Time for which a quarantined fingerprint is refused, in ms. */
 export const QUARANTINE_MS = 600_000;
-/** Number of requests in flight at a lost server from which none of them becomes a suspect. */
+/** The requests in flight at a lost server become suspects only if there are fewer of them than this number. */
 export const SUSPECT_MAX_IN_FLIGHT = 64;
 
 /** Age from which a grant no longer shows what runs on other hosts, in ms. */
--- a/packages/core/freshness.ts
+++ b/packages/core/freshness.ts
@@ -20,9 +20,9 @@
  * A clock for leases and for the age of cached state. The monotonic clock may
  * stand still while a process is suspended: a lease that expired meanwhile
  * would still seem to be held, and a key that was withdrawn meanwhile would
- * still be accepted. The wall clock advances during the suspension, so this clock adds
- * the difference. A forward step of the wall clock looks the same and expires
- * leases and cached state early, which only costs another read.
+ * still be accepted. The wall clock advances during the suspension, so this
+ * clock adds the difference. A forward step of the wall clock looks the same and
+ * expires leases and cached state early, which only costs another read.
  */
 export class SuspensionClock {
   #offset: number | undefined;
--- a/packages/core/quarantine.ts
+++ b/packages/core/quarantine.ts
@@ -40,12 +40,12 @@
   readonly #suspects = new Map<string, Suspect>();
   readonly #isolateAfter: number;
   readonly #poisonLimit: number;
-  readonly #holdsForeign: boolean;
+  readonly #holdsRemote: boolean;
 
   constructor(options: SuspectOptions = {}) {
     this.#isolateAfter = options.isolateAfter ?? 1;
     this.#poisonLimit = options.poisonLimit ?? constants.POISON_LIMIT;
-    this.#holdsForeign = options.holdsForeign ?? true;
+    this.#holdsRemote = options.holdsForeign ?? true;
   }
 
   /** Adds a mark that this host made. */
@@ -64,7 +64,7 @@
     const { servers, cleared } = suspect;
     if (servers.has(mark.server) || cleared.has(mark.server)) return;
     suspect.servers.add(mark.server);
-    if (!this.#holdsForeign) return;
+    if (!this.#holdsRemote) return;
     suspect.heldUntil = now + constants.SUSPECT_HOLD_MS;
   }
 
