--- a/packages/banyangrade/log_story.ts
+++ b/packages/banyangrade/log_story.ts
@@ -1,7 +1,7 @@
-/** The story of one request, told from the log lines of the hosts. */
+/** Traces one request through the log lines of the hosts. */
 import * as utils from "@banyangrade/utils";
 
-/** The fields of a line that the story uses. */
+/** The fields of a log line that the trace uses. */
 interface LogLine {
   readonly time: number;
   readonly host?: string;
@@ -32,15 +32,16 @@
   readonly error?: utils.StepError;
 }
 
-/** Lines of a host before a request's end that may have led to it, in ms. */
+/** Time before a request's end in which its host's state changes are shown, in ms. */
 const BACKGROUND_MS = 10_000;
-/** Parts whose lines change what a host believes. */
-const BELIEFS = /^(belief|roles): /;
-/** Most such lines that are told. */
+/** Prefixes of the log lines that record changes of a host's state. */
+const BACKGROUND_PREFIX = /^(belief|roles): /;
+/** Largest number of these lines that are shown. */
 const MAX_BACKGROUND = 12;
 
 /**
- * Tells what became of a request, one sentence a line; empty if no line names it.
+ * Returns what happened to a request, one sentence per line; empty if no log line
+ * names the request.
  *
  * @example
  * tellRequest(fs.readFileSync("hosts.log", "utf8"), "attempt-7");
@@ -52,7 +53,7 @@
   if (own.length === 0) return [];
   const end = own[own.length - 1];
   const background = lines.filter((line) =>
-    line.host === end.host && BELIEFS.test(line.msg) &&
+    line.host === end.host && BACKGROUND_PREFIX.test(line.msg) &&
     line.time <= end.time && end.time - line.time <= BACKGROUND_MS
   ).slice(-MAX_BACKGROUND);
   return [
@@ -68,7 +69,7 @@
   ];
 }
 
-/** A line may follow other text, such as the time a collector adds. */
+/** Parses a log line; a log collector may have added text such as a timestamp in front of it. */
 function parseLine(text: string): LogLine[] {
   const parsed = utils.parseJson(text.slice(Math.max(0, text.indexOf("{"))));
   const line = parsed as LogLine | undefined;
@@ -94,38 +95,42 @@
     }
     case "Attempt failed.":
       return `${line.server} failed it (${line.failure}): ${line.reason} ` +
-        `The caller had ${line.events} events.`;
+        `The caller had received ${line.events} events.`;
     case "Request answered.":
       return `Answered whole after ${line.totalMs} ms, the first part after ` +
         `${line.firstMs} ms.`;
     case "Failure passed on.":
-      return `The failure of ${line.server} was passed on (status ` +
+      return `The error response of ${line.server} was forwarded (status ` +
         `${line.status}).`;
     case "Request refused.":
       return `${line.host} refused it at ${line.step} (${line.code}); ran: ` +
         `${line.ran}; peer: ${line.peer}${describeProof(line)}.`;
     case "Caller left.":
-      return `The caller left after ${line.totalMs} ms${describeLeft(line)}.`;
+      return `The caller disconnected after ${line.totalMs} ms${
+        describeCallerLeft(line)
+      }.`;
     case "Attempt stopped.":
-      return `${line.host} let go of ${line.server} ${line.afterMs} ms after ` +
+      return `${line.host} stopped the attempt at ${line.server} ${line.afterMs} ms after ` +
         `that.`;
     default:
       return line.msg;
   }
 }
 
-function describeLeft({ stage, runningMs, loopDelayMs }: LogLine): string {
+function describeCallerLeft(
+  { stage, runningMs, loopDelayMs }: LogLine,
+): string {
   if (stage === undefined) return "";
   const running = runningMs === undefined
     ? ""
     : `, ${runningMs} ms after it was sent`;
-  return ` (${stage}${running}; noticed up to ${loopDelayMs} ms late)`;
+  return ` (${stage}${running}; detected up to ${loopDelayMs} ms late)`;
 }
 
 function describeProof({ proofAgeMs }: LogLine): string {
   return proofAgeMs === undefined
     ? ""
-    : `; last word from the store ${proofAgeMs} ms before`;
+    : `; last confirmed by the store ${proofAgeMs} ms before`;
 }
 
 function describeError({ error }: LogLine): string {
--- a/packages/banyangrade/log_story_test.ts
+++ b/packages/banyangrade/log_story_test.ts
@@ -1,4 +1,4 @@
-/** The story of one request, from lines as hosts write them. */
+/** Tracing one request through log lines as hosts write them. */
 import * as tapModule from "tap";
 import * as logStory from "./log_story.ts";
 
@@ -6,7 +6,7 @@
 
 const LINES = [
   `{"time":1000,"host":"h1","msg":"belief: Store lost.","error":{"code":"unreachable","step":"store.poll","peer":"store","message":"No answer."}}`,
-  `{"time":4000,"host":"h2","msg":"belief: Store lost."}`,
+  `{"time":4000,"host":"h2","msg":"belief: Store unreachable."}`,
   `12.5 h1 {"time":5000,"host":"h1","requestId":"r1","attempt":1,"server":"s1@7","route":"chat","version":3,"waitedMs":2,"msg":"request: Attempt started."}`,
   `{"time":5100,"host":"h1","requestId":"r2","attempt":1,"server":"s2@7","msg":"request: Attempt started."}`,
   `{"time":5200,"host":"h1","requestId":"r1","attempt":1,"server":"s1@7","failure":"connection_lost","reason":"read ECONNRESET","events":4,"msg":"request: Attempt failed."}`,
@@ -15,7 +15,7 @@
   `{"time":6000,"host":"h1","requestId":"r1","totalMs":1000,"firstMs":90,"msg":"request: Request answered."}`,
 ];
 
-tap.test("only the request's lines are told, and its host's beliefs", (t) => {
+tap.test("only the request's lines and its host's state changes are shown", (t) => {
   const story = logStory.tellRequest(LINES.join("\n"), "r1");
   t.match(story, [
     /^\+0 ms h1 sent it to s1@7 \(attempt 1/,
@@ -29,21 +29,21 @@
   t.end();
 });
 
-tap.test("an unknown request has no story", (t) => {
+tap.test("the trace of an unknown request is empty", (t) => {
   t.same(logStory.tellRequest(LINES.join("\n"), "r9"), []);
   t.end();
 });
 
-tap.test("a caller that left is told with what still ran", (t) => {
+tap.test("the trace of a caller that left shows what was still running", (t) => {
   const lines = [
     `{"time":1000,"host":"h1","requestId":"r1","attempt":1,"server":"s1@7","route":"chat","version":3,"waitedMs":2,"msg":"request: Attempt started."}`,
     `{"time":1400,"host":"h1","requestId":"r1","totalMs":402,"stage":"answering","runningMs":400,"loopDelayMs":12,"msg":"request: Caller left."}`,
     `{"time":1401,"host":"h1","requestId":"r1","attempt":1,"server":"s1@7","afterMs":1,"msg":"request: Attempt stopped."}`,
   ];
   t.same(logStory.tellRequest(lines.join("\n"), "r1").slice(1), [
-    "+400 ms The caller left after 402 ms (answering, 400 ms after it was " +
-    "sent; noticed up to 12 ms late).",
-    "+401 ms h1 let go of s1@7 1 ms after that.",
+    "+400 ms The caller disconnected after 402 ms (answering, 400 ms after it was " +
+    "sent; detected up to 12 ms late).",
+    "+401 ms h1 stopped the attempt at s1@7 1 ms after that.",
   ]);
   t.end();
 });
--- a/packages/banyangrade/loop_delay.ts
+++ b/packages/banyangrade/loop_delay.ts
@@ -1,12 +1,12 @@
 /**
- * How late the event loop is. A process that is short of processor time notices
- * everything late, the end of a connection too.
+ * Measures the delay of the event loop. A process that is short of CPU time
+ * detects every event late, including closed connections.
  */
 
-/** Time for which a delay is told, in ms. */
-const KEPT_MS = 2_000;
+/** Time for which a recorded delay counts, in ms. */
+const RETENTION_MS = 2_000;
 
-/** The longest delay of late. */
+/** The longest recent delay of the event loop. */
 export class LoopDelay {
   #longestMs = 0;
   #at = Number.NEGATIVE_INFINITY;
@@ -18,8 +18,8 @@
     this.#at = now;
   }
 
-  /** Longest delay of late, in ms. */
+  /** Returns the longest recent delay, in ms; 0 if none was recorded lately. */
   get(now: number): number {
-    return now - this.#at < KEPT_MS ? this.#longestMs : 0;
+    return now - this.#at < RETENTION_MS ? this.#longestMs : 0;
   }
 }
--- a/packages/banyangrade/loop_delay_test.ts
+++ b/packages/banyangrade/loop_delay_test.ts
@@ -1,10 +1,10 @@
-/** How late the event loop was of late. */
+/** The longest recent delay of the event loop. */
 import * as tapModule from "tap";
 import * as loopDelay from "./loop_delay.ts";
 
 const tap = tapModule.default;
 
-tap.test("the longest delay of the last two seconds is told", (t) => {
+tap.test("the longest delay of the last two seconds is reported", (t) => {
   const delay = new loopDelay.LoopDelay();
   t.equal(delay.get(0), 0);
   delay.record(300, 1_000);
--- a/packages/banyangrade/orders_round_test.ts
+++ b/packages/banyangrade/orders_round_test.ts
@@ -1,4 +1,4 @@
-/** Orders of backend servers, as the host in charge sends them. */
+/** Orders of backend servers, as sent by the host that holds the control roles. */
 import * as tapModule from "tap";
 import * as core from "@banyangrade/core";
 import * as utils from "@banyangrade/utils";
@@ -38,12 +38,12 @@
   };
 }
 
-/** A round over two failure domains with some reclaimable servers each, of which the second loses its own. */
+/** Starts scaling orders for two failure domains that have the same number of reclaimable servers each. */
 function startRound(
   answer: (order: ports.DomainOrder) => Promise<Answer>,
   { serversEach = 8, asked = 40 }: {
     readonly serversEach?: number;
-    /** Requests of each length; a quarter of all have unread prompts. */
+    /** Number of requests with short and with long prompts each; the prompts of a quarter of all are not prefilled yet. */
     readonly asked?: number;
   } = {},
 ) {
@@ -73,7 +73,7 @@
     usage: {},
     suspects: [],
   };
-  const round = new ordersRound.OrdersRound({
+  const round = new ordersRound.ScalingOrders({
     settings: { failureDomains: DOMAINS },
     platform: {
       sendOrder: (order) => {
@@ -109,16 +109,17 @@
   });
   return {
     sent,
-    /** Sends at a moment, and lets the answers arrive. */
+    /** Sends the orders that are due at a time, and lets the responses arrive. */
     sendAt: async (at: number) => {
       now = at;
       round.send();
       await new Promise((resolve) => setImmediate(resolve));
     },
-    /** Empties a failure domain, or none. */
+    /** Evacuates a failure domain; undefined ends the evacuation. */
     evacuate: (domain: string | undefined) => {
       emptied = domain;
     },
+    /** Removes all servers of a failure domain, as if the platform reclaimed them. */
     reclaim: (domain: string) => {
       servers = servers.filter(({ failureDomain }) => failureDomain !== domain);
     },
@@ -128,11 +129,12 @@
 const REFUSED = utils.Err(utils.createStepError("conflict", {
   step: "orders.send",
   peer: "platform",
-  message: "None of that kind is to be had.",
+  message: "No servers of this kind are available.",
 }));
 
-// Guards against a second in which nothing starts in the place of servers that are not to be had.
-tap.test("what is refused is replaced at once", async (t) => {
+// The platform has no reclaimable servers left. Replacements that wait for the
+// next round leave a second in which no server boots.
+tap.test("unavailable reclaimable servers are replaced in the same round", async (t) => {
   let dry = false;
   const round = startRound((order) =>
     Promise.resolve(dry && order.spot ? REFUSED : utils.Ok(undefined))
@@ -153,8 +155,8 @@
   t.end();
 });
 
-// Guards against orders that wait behind one that gets no answer.
-tap.test("an order without an answer holds up no other one", async (t) => {
+// Orders sent one after the other would all wait behind one without a response.
+tap.test("an order without a response delays no other order", async (t) => {
   const never = new Promise<Answer>(() => undefined);
   const round = startRound(({ failureDomain }) =>
     failureDomain === "a" ? never : Promise.resolve(utils.Ok(undefined))
@@ -167,12 +169,13 @@
   const first = round.sent.filter(({ spot, failureDomain }) =>
     spot && failureDomain === "a"
   );
-  t.equal(first.length, 1, "nor is it sent twice meanwhile");
+  t.equal(first.length, 1, "an order in flight is not sent again");
   t.end();
 });
 
-// Guards against servers that are called off while an order for them, whose answer was lost, is carried out late.
-tap.test("an order whose answer is lost is not taken for refused", async (t) => {
+// The response is lost but the order may still be carried out. Treating it as
+// refused would order replacements for servers that arrive late.
+tap.test("an order whose response is lost is not treated as refused", async (t) => {
   const lost = utils.Err(utils.createStepError("unknown_outcome", {
     step: "orders.send",
     peer: "platform",
@@ -192,12 +195,16 @@
   await round.sendAt(4_500);
   const after = round.sent.slice(before);
   t.ok(after.some(({ spot, failureDomain }) => spot && failureDomain === "b"));
-  t.notOk(after.some(({ spot, count }) => !spot && count > 0), "by others");
+  t.notOk(
+    after.some(({ spot, count }) => !spot && count > 0),
+    "no ordinary servers replace them",
+  );
   t.end();
 });
 
-// Guards against seconds without servers or an order for any: a reclaim took those that had just been ordered, before all of them had started.
-tap.test("what is lost while more start is ordered again at once", async (t) => {
+// A reclaim takes ready servers and those still booting from the last order. If
+// the loss is not noticed, seconds pass without servers or an order for them.
+tap.test("servers reclaimed while more are booting are ordered again at once", async (t) => {
   const round = startRound(() => Promise.resolve(utils.Ok(undefined)), {
     serversEach: 3,
   });
@@ -211,12 +218,13 @@
   t.ok(after.some(({ spot, failureDomain }) => spot && failureDomain === "b"));
   const again = round.sent.length;
   await round.sendAt(4_000);
-  t.equal(round.sent.length, again, "once");
+  t.equal(round.sent.length, again, "only once");
   t.end();
 });
 
-// Guards against a burst without servers where the one order for them was lost.
-tap.test("an order whose answer is lost is sent once more", async (t) => {
+// The only order for a burst is lost with its response, and the burst gets no
+// servers.
+tap.test("an order whose response is lost is sent again until it is answered", async (t) => {
   const lost = utils.Err(utils.createStepError("unknown_outcome", {
     step: "orders.send",
     peer: "platform",
@@ -236,12 +244,13 @@
   );
   const again = round.sent.length;
   await round.sendAt(4_500);
-  t.equal(round.sent.length, again, "until there is an answer");
+  t.equal(round.sent.length, again, "not after a response");
   t.end();
 });
 
-// Guards against capacity that is missing once a failure domain is emptied, and against its own servers being called off meanwhile.
-tap.test("what an emptied failure domain carried is ordered elsewhere at once", async (t) => {
+// An evacuation takes the capacity of a failure domain. It is missing unless it is
+// ordered elsewhere, and again later if the domain's own servers are scaled down.
+tap.test("the capacity of an evacuated failure domain is ordered elsewhere at once", async (t) => {
   const round = startRound(() => Promise.resolve(utils.Ok(undefined)), {
     serversEach: 2,
     asked: 8,
@@ -262,7 +271,7 @@
     round.sent.slice(returned).some(({ failureDomain, spot, count }) =>
       failureDomain === "b" && spot && count < 2
     ),
-    "its servers are used again",
+    "its own servers are not scaled down after the evacuation",
   );
   t.end();
 });
--- a/packages/banyangrade/presence_test.ts
+++ b/packages/banyangrade/presence_test.ts
@@ -1,4 +1,4 @@
-/** What a host hears of the others while the store does not answer. */
+/** Applying the summary of the other hosts while the store does not answer. */
 import * as tapModule from "tap";
 import * as core from "@banyangrade/core";
 import type * as store from "@banyangrade/store";
@@ -18,15 +18,17 @@
   suspects: [],
 };
 
-// Guards against a host that takes the others' times of day, heard before a call to the store that did not come back, for those of now: its usage fell into the window before.
-tap.test("others' times are taken before a call to the store that gets no answer", async (t) => {
+// The relay's answer holds the times of day of the other hosts. If it were applied
+// after a store call that hangs, the times would be old by then, and the host
+// would count usage in the previous window.
+tap.test("times of other hosts are applied before a store call that gets no response", async (t) => {
   const never = new Promise<never>(() => undefined);
   const client = new Proxy({} as store.KeyValueClient, {
     get: () => () => never,
   });
-  const heard: core.HostsSummary[] = [];
+  const received: core.HostsSummary[] = [];
   const others = { ...core.EMPTY_SUMMARY, hosts: 3, times: [1_000] };
-  const presence = new presenceTask.PresenceTask({
+  const presence = new presenceTask.HostStatusTask({
     store: client,
     clock: utils.SYSTEM_CLOCK,
     log: utils.createLogger({ level: "silent" }),
@@ -42,10 +44,10 @@
     describe: () => STATUS,
     hasRole: () => true,
     getDivisions: () => undefined,
-    onOthers: (summary) => void heard.push(summary),
+    onSummary: (summary) => void received.push(summary),
   });
   presence.start();
-  while (heard.length === 0) await utils.waitFor(20);
-  t.same(heard[0], others);
+  while (received.length === 0) await utils.waitFor(20);
+  t.same(received[0], others);
   void presence.stop();
 });
--- a/packages/banyangrade/relayed_feed_test.ts
+++ b/packages/banyangrade/relayed_feed_test.ts
@@ -1,4 +1,4 @@
-/** Following the store by way of a relay: ages, losses, and what is answered. */
+/** Following the store through a relay: age of the data, failures, and answers to followers. */
 import * as tapModule from "tap";
 import type * as peer from "@banyangrade/peer";
 import * as store from "@banyangrade/store";
@@ -13,133 +13,135 @@
   message: "No answer.",
 });
 
-interface World {
+interface Fixture {
   readonly clock: utils.VirtualClock;
-  /** What the store answers to polls. */
+  /** Response of the store to polls. */
   changes: utils.Result<store.Changes, utils.StepError>;
-  /** What the relay answers to any call; undefined for no relay. */
+  /** Response of the relay to any call; undefined for no relay. */
   relayed: peer.RelayedChanges | peer.RelayedSnapshot | undefined;
   /** Calls that reached the store. */
-  readonly asked: string[];
+  readonly storeCalls: string[];
 }
 
-function buildWorld(): World {
+function buildFixture(): Fixture {
   return {
     clock: utils.createVirtualClock(),
     changes: utils.Ok({ changes: [], revision: 5 }),
     relayed: undefined,
-    asked: [],
+    storeCalls: [],
   };
 }
 
-function buildFeed(world: World): relayedFeed.RelayedFeed {
+function buildFeed(fixture: Fixture): relayedFeed.RelayedFeed {
   return new relayedFeed.RelayedFeed({
     feed: {
       readAll: () => {
-        world.asked.push("readAll");
+        fixture.storeCalls.push("readAll");
         return Promise.resolve(utils.Ok({ entries: [], revision: 5 }));
       },
       pollChanges: () => {
-        world.asked.push("poll");
-        return Promise.resolve(world.changes);
+        fixture.storeCalls.push("poll");
+        return Promise.resolve(fixture.changes);
       },
     },
     relay: {
       callRelay: <Answer>() =>
-        Promise.resolve(world.relayed as Answer | undefined),
+        Promise.resolve(fixture.relayed as Answer | undefined),
     },
-    clock: world.clock,
+    clock: fixture.clock,
   });
 }
 
 const poll = (feed: relayedFeed.RelayedFeed) =>
   feed.pollChanges(PREFIX, { after: 5, waitMs: 0 });
 
-tap.test("with a relay that has recent word the store is not asked", async (t) => {
-  const world = buildWorld();
-  const feed = buildFeed(world);
-  world.relayed = { kind: "changes", changes: [], revision: 5, ageMs: 800 };
+tap.test("with a relay whose data is fresh the store is not polled", async (t) => {
+  const fixture = buildFixture();
+  const feed = buildFeed(fixture);
+  fixture.relayed = { kind: "changes", changes: [], revision: 5, ageMs: 800 };
   const polled = await poll(feed);
   t.match(polled, { ok: true, val: { ageMs: 800 } });
-  t.same(world.asked, []);
+  t.same(fixture.storeCalls, []);
 });
 
-// The relay is gone. Its followers must not stay without word until another
-// host has its lease.
-tap.test("without a relay the store is asked", async (t) => {
-  const world = buildWorld();
-  t.ok((await poll(buildFeed(world))).ok);
-  t.same(world.asked, ["poll"]);
+// The relay is gone. Its followers must not stay without updates until another
+// host has acquired the lease.
+tap.test("without a relay the store is polled directly", async (t) => {
+  const fixture = buildFixture();
+  t.ok((await poll(buildFeed(fixture))).ok);
+  t.same(fixture.storeCalls, ["poll"]);
 });
 
-// The relay alone is cut off from the store. A key may have been withdrawn, or a
-// route, that it does not know of: its followers go to the store at once.
-// Guards against a failure domain whose hosts all ask five times a second: their relay ended while the store was away.
-tap.test("without a relay a store that fails is asked seldom, and again", async (t) => {
-  const world = buildWorld();
-  const feed = buildFeed(world);
-  world.changes = utils.Err(LOST);
+// The relay stops during an outage of the store. Without a backoff, all hosts of
+// its failure domain poll the store five times a second.
+tap.test("without a relay a failing store is polled with a backoff, and normally once it answers", async (t) => {
+  const fixture = buildFixture();
+  const feed = buildFeed(fixture);
+  fixture.changes = utils.Err(LOST);
   for (let now = 0; now < 3_000; now += 200) {
     t.ok((await poll(feed)).err);
-    world.clock.advance(200);
+    fixture.clock.advance(200);
   }
-  t.equal(world.asked.length, 6);
-  world.changes = utils.Ok({ changes: [], revision: 5 });
-  world.clock.advance(600);
+  t.equal(fixture.storeCalls.length, 6);
+  fixture.changes = utils.Ok({ changes: [], revision: 5 });
+  fixture.clock.advance(600);
   t.ok((await poll(feed)).ok);
-  t.ok((await poll(feed)).ok, "and not seldom once it answers");
-  t.equal(world.asked.length, 8);
+  t.ok((await poll(feed)).ok, "without a backoff once it answers");
+  t.equal(fixture.storeCalls.length, 8);
 });
 
-// Guards against a change that is heard late because one poll was cut, or because the store had dropped its history.
-tap.test("one poll that fails is repeated at once, and so is what was dropped", async (t) => {
-  const world = buildWorld();
-  const feed = buildFeed(world);
-  world.changes = utils.Err(LOST);
+// A single interrupted poll, or a compaction of the store's history, is no outage.
+// A backoff would delay the next change.
+tap.test("a single failed poll and a compacted history cause no backoff", async (t) => {
+  const fixture = buildFixture();
+  const feed = buildFeed(fixture);
+  fixture.changes = utils.Err(LOST);
   t.ok((await poll(feed)).err);
-  world.changes = utils.Ok({ changes: [], revision: 5 });
+  fixture.changes = utils.Ok({ changes: [], revision: 5 });
   t.ok((await poll(feed)).ok);
-  world.changes = utils.Err({ ...LOST, code: "not_found" });
+  fixture.changes = utils.Err({ ...LOST, code: "not_found" });
   t.ok((await poll(feed)).err);
   t.ok((await poll(feed)).err);
-  t.equal(world.asked.length, 4);
+  t.equal(fixture.storeCalls.length, 4);
 });
 
-tap.test("a relay without recent word is not relied on", async (t) => {
-  const world = buildWorld();
-  const feed = buildFeed(world);
-  world.relayed = { kind: "unready" };
+// Only the relay is cut off from the store, so it may miss that a key was
+// withdrawn or a route removed: its followers poll the store at once.
+tap.test("a relay whose data is stale is bypassed", async (t) => {
+  const fixture = buildFixture();
+  const feed = buildFeed(fixture);
+  fixture.relayed = { kind: "unready" };
   t.ok((await poll(feed)).ok);
-  t.same(world.asked, ["poll"]);
-  // Both have none: the failure counts, as it would without a relay, and the
-  // store is not asked again at once by each of sixty hosts.
-  world.changes = utils.Err(LOST);
+  t.same(fixture.storeCalls, ["poll"]);
+  // Relay and follower have both lost the store: the failure starts a backoff, so
+  // that sixty hosts do not all poll the store again at once.
+  fixture.changes = utils.Err(LOST);
   t.ok((await poll(feed)).err);
   t.ok((await poll(feed)).err);
-  t.same(world.asked, ["poll", "poll"]);
-  world.clock.advance(1_600);
+  t.same(fixture.storeCalls, ["poll", "poll"]);
+  fixture.clock.advance(1_600);
   t.ok((await poll(feed)).err);
-  t.same(world.asked, ["poll", "poll", "poll"]);
-  // The relay has word before this host.
-  world.relayed = { kind: "changes", changes: [], revision: 5, ageMs: 100 };
+  t.same(fixture.storeCalls, ["poll", "poll", "poll"]);
+  // The relay reaches the store again before this host does.
+  fixture.relayed = { kind: "changes", changes: [], revision: 5, ageMs: 100 };
   t.match(await poll(feed), { ok: true, val: { ageMs: 100 } });
-  t.equal(world.asked.length, 3);
+  t.equal(fixture.storeCalls.length, 3);
 });
 
-// A relay is cut off without notice while followers wait at it: each of them
-// would wait on, and the change that came meanwhile not be in force in time.
-tap.test("a wait ends when the relay's own word grows old", async (t) => {
-  const world = buildWorld();
-  const feed = buildFeed(world);
+// A relay silently loses the store during the long polls of its followers. If they
+// kept waiting, a change in the meantime would not be applied in time.
+tap.test("a long poll ends when the relay's own data becomes stale", async (t) => {
+  const fixture = buildFixture();
+  const feed = buildFeed(fixture);
   await feed.readAll(PREFIX);
   const answer = feed.answerPoll({ prefix: PREFIX, after: 5, waitMs: 60_000 });
-  world.clock.advance(2_000);
+  fixture.clock.advance(2_000);
   t.same(await answer, { kind: "unready" });
   t.same(feed.answerReadAll(PREFIX), { kind: "unready" });
 });
 
-tap.test("a relay that has not read a prefix says so", async (t) => {
-  const feed = buildFeed(buildWorld());
+tap.test("a relay that has not read a prefix answers that it is not ready", async (t) => {
+  const feed = buildFeed(buildFixture());
   t.same(feed.answerReadAll(PREFIX), { kind: "unready" });
   t.same(
     await feed.answerPoll({ prefix: PREFIX, after: 0, waitMs: 0 }),
@@ -147,29 +149,33 @@
   );
 });
 
-// Ages add up over relays: the word of a follower that answers as a relay is as
-// old as that of the relay it had it from, and older by what has passed since.
-tap.test("a proof does not become newer on its way", async (t) => {
-  const world = buildWorld();
-  const feed = buildFeed(world);
-  world.relayed = { kind: "snapshot", entries: [], revision: 5, ageMs: 900 };
+// A follower that becomes the relay answers from data that it got from another
+// relay. Its age is that at the other relay plus the time since; without this sum
+// old data would appear new.
+tap.test("relayed data does not appear newer than it is", async (t) => {
+  const fixture = buildFixture();
+  const feed = buildFeed(fixture);
+  fixture.relayed = { kind: "snapshot", entries: [], revision: 5, ageMs: 900 };
   await feed.readAll(PREFIX);
-  world.clock.advance(200);
+  fixture.clock.advance(200);
   const answer = await feed.answerPoll({ prefix: PREFIX, after: 5, waitMs: 0 });
   t.match(answer, { kind: "changes", ageMs: 1_100 });
 });
 
-// A call is kept while a change comes. The age is that at the call's arrival,
-// from which its sender reckons, so the wait makes no word newer than it is.
-tap.test("a change ends the wait, and the age is that of the call", async (t) => {
-  const world = buildWorld();
-  const feed = buildFeed(world);
+// A long poll is held until a change comes. The follower counts the age from the
+// time of the call, so an age taken after the wait would be wrong by that wait.
+tap.test("a change ends the long poll, and the age is that at the call's arrival", async (t) => {
+  const fixture = buildFixture();
+  const feed = buildFeed(fixture);
   await feed.readAll(PREFIX);
-  world.clock.advance(100);
+  fixture.clock.advance(100);
   const answer = feed.answerPoll({ prefix: PREFIX, after: 5, waitMs: 60_000 });
-  world.clock.advance(400);
+  fixture.clock.advance(400);
   const entry = { key: "servers/a", value: "{}", modRevision: 6 };
-  world.changes = utils.Ok({ changes: [{ kind: "put", entry }], revision: 6 });
+  fixture.changes = utils.Ok({
+    changes: [{ kind: "put", entry }],
+    revision: 6,
+  });
   await poll(feed);
   t.match(await answer, {
     kind: "changes",
@@ -178,14 +184,14 @@
   });
 });
 
-tap.test("who is behind what is remembered reads in full", async (t) => {
-  const world = buildWorld();
-  const feed = buildFeed(world);
+tap.test("a follower whose revision precedes the relay's history is told to read in full", async (t) => {
+  const fixture = buildFixture();
+  const feed = buildFeed(fixture);
   await feed.readAll(PREFIX);
   t.same(
     await feed.answerPoll({ prefix: PREFIX, after: 4, waitMs: 0 }),
     { kind: "gone" },
   );
-  world.relayed = { kind: "gone" };
+  fixture.relayed = { kind: "gone" };
   t.match(await poll(feed), { err: true, val: { code: "not_found" } });
 });
--- a/packages/banyangrade/routed/attempt_message.ts
+++ b/packages/banyangrade/routed/attempt_message.ts
@@ -1,39 +1,40 @@
-/** What one attempt sends, and how long it may keep silent. */
+/** Builds the request that an attempt sends to a backend server, with its timeouts. */
 import type * as core from "@banyangrade/core";
 import type * as service from "@banyangrade/service";
 import * as utils from "@banyangrade/utils";
 import type * as routedExchange from "./routed_exchange.ts";
 import type * as ports from "./ports.ts";
 
-/** What an attempt is built from. */
+/** Options of {@link buildAttemptRequest}. */
 export interface AttemptOptions {
   readonly exchange: routedExchange.ExchangeOptions;
   readonly wire: ports.WireFormat;
   readonly server: core.ServerInfo;
-  /** An engine that may hold the beginning of the prompt. */
+  /** An engine that may have the beginning of the prompt in its cache. */
   readonly source?: core.ServerInfo;
-  /** 1 for the first one. */
+  /** Number of the attempt; 1 for the first. */
   readonly attempt: number;
-  /** Identifier of the last event that the caller has; -1 before the first. */
+  /** Identifier of the last event that the caller received; -1 before the first. */
   readonly lastEventId: number;
   readonly now: number;
 }
 
-/** An attempt but for its connections. */
-export type AttemptMessage = Omit<
+/** The request of an attempt, without the connections and the abort signal. */
+export type AttemptRequest = Omit<
   service.ForwardCall,
   "connections" | "signal"
 >;
 
 /**
- * Builds an attempt: the caller's own request with what is left of its time.
+ * Builds the request of an attempt: the caller's request with the time that
+ * remains until its deadline.
  *
  * @example
  * const message = buildAttempt({ exchange, wire, server, attempt: 1, lastEventId: -1, now });
  */
-export function buildAttempt(options: AttemptOptions): AttemptMessage {
+export function buildAttemptRequest(options: AttemptOptions): AttemptRequest {
   const { exchange, wire, server, source, lastEventId, now } = options;
-  const { incoming, head, request, route, body, endsAt } = exchange;
+  const { incoming, head, request, route, body, deadlineAt } = exchange;
   return {
     requestId: head.requestId,
     method: incoming.method,
@@ -41,7 +42,7 @@
     headers: {
       ...utils.dropHopHeaders(incoming.headers, wire.reserved),
       ...wire.buildAttempt({
-        deadlineMs: Math.max(1, Math.floor(endsAt - now)),
+        deadlineMs: Math.max(1, Math.floor(deadlineAt - now)),
         customer: request.customer === "" ? undefined : request.customer,
         instance: server.instance ?? server.name,
         lastEventId,
@@ -53,39 +54,45 @@
     stream: route.kind === "stream",
     lastEventId,
     readMarks: wire.readMarks,
-    silence: computeSilence(options),
+    silence: computeSilenceLimits(options),
   };
 }
 
 /**
- * Silence after which an attempt that may be repeated is tried elsewhere, as a
- * multiple of the route's target. A server gone dark otherwise keeps a request
- * until its deadline.
+ * Time to the response head after which a repeatable attempt is retried on
+ * another server, as a multiple of the route's target. Without this timeout, an
+ * unresponsive server would hold a request until its deadline.
  */
-const SILENCE_FACTOR = 1.5;
-/** Least silence before that, in ms: some turns of a busy server. */
-const LEAST_SILENCE_MS = 250;
-/** Silence between two events before that, as a multiple of the target pause. */
-const PAUSE_FACTOR = 3;
-/** Least silence between two events before that, in ms. */
-const LEAST_PAUSE_MS = 1_500;
+const HEAD_TIMEOUT_FACTOR = 1.5;
+/** Lower bound of that timeout, in ms; several batching steps of a busy server. */
+const MIN_HEAD_TIMEOUT_MS = 250;
+/** Time between two events after which a repeatable attempt is retried on another server, as a multiple of the route's target gap. */
+const GAP_TIMEOUT_FACTOR = 3;
+/** Lower bound of the timeout between two events, in ms. */
+const MIN_GAP_TIMEOUT_MS = 1_500;
 
-/** Computes how long an attempt may keep silent; only one that may be repeated is given up early. */
-function computeSilence(
+/** Computes the timeouts of an attempt; only one that may be repeated has shorter ones than the deadline. */
+function computeSilenceLimits(
   { exchange, attempt, now }: AttemptOptions,
 ): service.SilenceLimits {
-  const { route, request, endsAt } = exchange;
-  const left = Math.max(1, endsAt - now);
-  // Calls are short: one that hangs does so whatever its server does else.
+  const { route, request, deadlineAt } = exchange;
+  const remainingMs = Math.max(1, deadlineAt - now);
+  // Calls are short, so the server's other work does not explain a call that hangs.
   const sharesServer = route.kind === "stream";
   if (!request.repeatable || attempt >= route.maxAttempts) {
-    return { headMs: left, betweenMs: left, sharesServer };
+    return { headMs: remainingMs, betweenMs: remainingMs, sharesServer };
   }
-  const silence = Math.max(LEAST_SILENCE_MS, SILENCE_FACTOR * route.targetMs);
-  const pause = Math.max(LEAST_PAUSE_MS, PAUSE_FACTOR * route.betweenMs);
+  const headTimeoutMs = Math.max(
+    MIN_HEAD_TIMEOUT_MS,
+    HEAD_TIMEOUT_FACTOR * route.targetMs,
+  );
+  const gapTimeoutMs = Math.max(
+    MIN_GAP_TIMEOUT_MS,
+    GAP_TIMEOUT_FACTOR * route.betweenMs,
+  );
   return {
-    headMs: Math.min(left, silence),
-    betweenMs: Math.min(left, pause),
+    headMs: Math.min(remainingMs, headTimeoutMs),
+    betweenMs: Math.min(remainingMs, gapTimeoutMs),
     sharesServer,
   };
 }
--- a/packages/banyangrade/routed/belief_task.ts
+++ b/packages/banyangrade/routed/belief_task.ts
@@ -1,8 +1,8 @@
 /**
- * What this host believes: the operators' configuration and the list of
- * backend servers. Each belief knows until when it is proved to have been
- * current, so that a host without word from the store stops serving keys that
- * may have been withdrawn.
+ * The host's copy of the cluster state in the store: the operators'
+ * configuration and the list of backend servers. The copy records when it was
+ * last confirmed to be current, so that a host that has lost the store stops
+ * serving keys that may have been withdrawn.
  */
 import * as core from "@banyangrade/core";
 import * as store from "@banyangrade/store";
@@ -10,68 +10,68 @@
 import type * as ports from "./ports.ts";
 
 /**
- * Longest wait of one poll, in ms. Word from the store is at most this old
- * while all is well; well below half of the time within which a withdrawn key
- * must stop working.
+ * Longest wait of one long poll for the configuration, in ms. It bounds the age
+ * of the configuration while the store is reachable, and is well below half of
+ * the time within which a withdrawn key must stop working.
  */
-const POLL_WAIT_MS = 800;
-/** The same for the list of servers, whose polls fail with those of the configuration. */
-const SERVERS_WAIT_MS = 3_000;
-/** Pause that gathers changes, in ms: a twentieth of the time in which one must be in force. */
-const SETTLE_MS = 100;
-/** Hosts that follow the store itself and share its rates with that pause for servers; more take a longer one. */
-const HOSTS_PER_SETTLE = 16;
-/** Longest pause for servers, in ms: a fifth of the time in which one may leave. */
-const MAX_SETTLE_MS = 400;
+const CONFIG_POLL_WAIT_MS = 800;
+/** Longest wait of one long poll for the list of servers, in ms; longer, as the polls for the configuration detect a lost store. */
+const SERVERS_POLL_WAIT_MS = 3_000;
+/** Delay after a change that batches further ones, in ms; a twentieth of the time within which a change must be applied. */
+const BATCH_DELAY_MS = 100;
+/** Number of hosts that follow the store directly up to which the server list uses that delay; more hosts lengthen it, to stay within the store's rate limits. */
+const HOSTS_PER_BATCH_DELAY = 16;
+/** Longest batching delay of the server list, in ms; a fifth of the time within which a leaving server must get no more work. */
+const MAX_BATCH_DELAY_MS = 400;
 /**
- * Part of the withdrawal time for which a proof is good; the rest covers the
- * way to the server and what the process is late. A smaller part refuses
- * callers while another host could not serve them either: at 0.7, an outage of
- * the store cost every keyed request from its second second on.
+ * Share of the withdrawal time for which keys are served after the last
+ * confirmation by the store. The rest covers the network latency to the server
+ * and the event loop delay. With 0.7, every request with a key was refused from
+ * the second second of a store outage on, although no other host could serve it.
  */
-const PROOF_SHARE = 0.9;
-/** Part of it for which the host calls itself ready; above the age that a proof reaches between two polls. */
+const KEYS_VALID_SHARE = 0.9;
+/** Share of the withdrawal time for which the host reports itself ready; above the age that the last confirmation reaches between two polls. */
 const READY_SHARE = 0.7;
-/** Between two looks at servers whose entries are missing, in ms. */
-const EXPIRE_MS = 200;
+/** Interval between checks for servers whose missing entries have expired, in ms. */
+const EXPIRY_CHECK_MS = 200;
 
-/** Options of {@link BeliefTask}. */
-export interface BeliefOptions {
+/** Options of {@link ClusterStateTask}. */
+export interface ClusterStateOptions {
   readonly platform: ports.Platform;
   readonly feed: store.FeedClient;
-  /** Counts suspensions, so that a proof does not outlast one. */
+  /** Includes the time for which the process was suspended, so that a confirmation ages meanwhile. */
   readonly clock: utils.Clock;
   readonly log: utils.Logger;
   readonly withdrawMs: number;
   /** Time within which a leaving server must get no more work, in ms. */
   readonly leaveMs: number;
-  /** Hosts that follow the store itself. */
-  readonly countHosts: () => number;
+  /** Counts the hosts that follow the store directly. */
+  readonly countStoreReaders: () => number;
   readonly onConfiguration: (table: core.RouteTable) => void;
   readonly onServers: (servers: readonly core.ListedServer[]) => void;
-  /** Told the failure domains that are emptied, or no longer. */
+  /** Called with the failure domains whose evacuation began or ended. */
   readonly onEvacuations: (changed: readonly string[]) => void;
 }
 
-/** Follows the store and keeps what was read. */
-export class BeliefTask {
-  readonly #options: BeliefOptions;
+/** Follows the store and keeps a copy of the cluster state. */
+export class ClusterStateTask {
+  readonly #options: ClusterStateOptions;
   readonly #proof = new core.Proof();
-  readonly #list: core.ServerList;
+  readonly #servers: core.ServerList;
   readonly #evacuations = new core.Evacuations();
   readonly #stops: (() => void)[] = [];
   #table: core.RouteTable | undefined;
-  #revision = 0;
-  #listed = false;
+  #configRevision = 0;
+  #serversLoaded = false;
   #expiry: NodeJS.Timeout | undefined;
   #reachable = true;
 
-  constructor(options: BeliefOptions) {
+  constructor(options: ClusterStateOptions) {
     this.#options = options;
-    this.#list = new core.ServerList(options);
+    this.#servers = new core.ServerList(options);
   }
 
-  /** Starts following both prefixes. */
+  /** Starts following the operators' entries and the servers' entries. */
   start(): void {
     const { platform, feed, clock } = this.#options;
     this.#stops.push(
@@ -79,22 +79,24 @@
         feed,
         clock,
         prefix: platform.operatorPrefix,
-        waitMs: POLL_WAIT_MS,
-        getSettleMs: () => SETTLE_MS,
-        onEvent: (event) => this.#takeOperators(event),
+        waitMs: CONFIG_POLL_WAIT_MS,
+        getSettleMs: () => BATCH_DELAY_MS,
+        onEvent: (event) => this.#handleConfigEvent(event),
       }),
       store.watchPrefix({
         feed,
         clock,
         prefix: platform.serversPrefix,
-        waitMs: SERVERS_WAIT_MS,
+        waitMs: SERVERS_POLL_WAIT_MS,
         getSettleMs: () =>
           Math.min(
-            MAX_SETTLE_MS,
-            SETTLE_MS *
-              Math.ceil(this.#options.countHosts() / HOSTS_PER_SETTLE),
+            MAX_BATCH_DELAY_MS,
+            BATCH_DELAY_MS *
+              Math.ceil(
+                this.#options.countStoreReaders() / HOSTS_PER_BATCH_DELAY,
+              ),
           ),
-        onEvent: (event) => this.#takeServers(event),
+        onEvent: (event) => this.#handleServersEvent(event),
       }),
       () => clearTimeout(this.#expiry),
     );
@@ -104,58 +106,59 @@
     this.#stops.splice(0).forEach((stop) => stop());
   }
 
-  /** The configuration in force; undefined before the first one was read. */
+  /** Returns the current configuration; undefined until it was read for the first time. */
   getTable(): core.RouteTable | undefined {
     return this.#table;
   }
 
-  /** Whether keys may be relied on: no withdrawal can be older than allowed. */
-  isProved(): boolean {
-    return this.#getAge() <= PROOF_SHARE * this.#options.withdrawMs;
+  /** Whether keys may still be served: no withdrawal can have been missed for longer than allowed. */
+  isFresh(): boolean {
+    return this.#computeProofAge() <=
+      KEYS_VALID_SHARE * this.#options.withdrawMs;
   }
 
-  /** Whether new connections do well to come here. */
+  /** Whether the load balancer should send new connections to this host. */
   isReady(): boolean {
-    return this.#table !== undefined && this.#listed &&
-      this.#getAge() <= READY_SHARE * this.#options.withdrawMs;
+    return this.#table !== undefined && this.#serversLoaded &&
+      this.#computeProofAge() <= READY_SHARE * this.#options.withdrawMs;
   }
 
-  /** Age of the last proof in ms, for logs and metrics. */
-  getAge(): number {
-    return Math.round(this.#getAge());
+  /** Returns the time since the store last confirmed the state, in ms, for logs and metrics. */
+  getProofAge(): number {
+    return Math.round(this.#computeProofAge());
   }
 
   listServers(): readonly core.ListedServer[] {
-    return this.#list.list();
+    return this.#servers.list();
   }
 
-  /** Whether operators have a failure domain emptied. */
+  /** Whether a failure domain is being evacuated by the operators. */
   isEvacuated(failureDomain: string): boolean {
     return this.#evacuations.has(failureDomain);
   }
 
-  #getAge(): number {
+  #computeProofAge(): number {
     return this.#proof.getAge(this.#options.clock.now());
   }
 
-  #takeOperators(event: store.FeedEvent): void {
+  #handleConfigEvent(event: store.FeedEvent): void {
     switch (event.kind) {
       case "failed":
         return this.#recordFailure(event.error);
       case "replaced":
-        event.entries.forEach((entry) => this.#takeConfig(entry));
+        event.entries.forEach((entry) => this.#handleConfigEntry(entry));
         this.#setEvacuations(event);
-        return this.#confirm(event.sentAt);
+        return this.#recordProof(event.sentAt);
       case "changed":
         event.changes.forEach((change) => {
-          if (change.kind === "put") this.#takeConfig(change.entry);
+          if (change.kind === "put") this.#handleConfigEntry(change.entry);
         });
         this.#applyEvacuations(event.changes);
-        return this.#confirm(event.sentAt);
+        return this.#recordProof(event.sentAt);
     }
   }
 
-  #takeConfig(entry: store.StoreEntry): void {
+  #handleConfigEntry(entry: store.StoreEntry): void {
     const isConfig = entry.key === this.#options.platform.configurationKey;
     if (isConfig) this.#applyConfig(entry);
   }
@@ -165,13 +168,13 @@
   ): void {
     const evacuated = new Map(
       entries.flatMap(({ key, modRevision }) => {
-        const failureDomain = this.#readEvacuated(key);
+        const failureDomain = this.#parseEvacuationKey(key);
         return failureDomain === undefined
           ? []
           : [[failureDomain, modRevision] as const];
       }),
     );
-    this.#tellEvacuations(this.#evacuations.setAll(evacuated, revision));
+    this.#notifyEvacuations(this.#evacuations.setAll(evacuated, revision));
   }
 
   #applyEvacuations(changes: readonly store.Change[]): void {
@@ -180,57 +183,60 @@
       const { key, modRevision } = change.kind === "put"
         ? change.entry
         : change;
-      const failureDomain = this.#readEvacuated(key);
+      const failureDomain = this.#parseEvacuationKey(key);
       if (failureDomain === undefined) return [];
-      const order = { failureDomain, evacuated, revision: modRevision };
-      return this.#evacuations.apply(order) ? [failureDomain] : [];
+      const evacuation = { failureDomain, evacuated, revision: modRevision };
+      return this.#evacuations.apply(evacuation) ? [failureDomain] : [];
     });
-    this.#tellEvacuations(changed);
+    this.#notifyEvacuations(changed);
   }
 
-  /** The failure domain that an entry of the operators empties, if it does. */
-  #readEvacuated(key: string): string | undefined {
+  /** Returns the failure domain that an operators' entry evacuates; undefined for other entries. */
+  #parseEvacuationKey(key: string): string | undefined {
     const { evacuationPrefix } = this.#options.platform;
     return key.startsWith(evacuationPrefix)
       ? key.slice(evacuationPrefix.length)
       : undefined;
   }
 
-  #tellEvacuations(changed: readonly string[]): void {
+  #notifyEvacuations(changed: readonly string[]): void {
     if (changed.length === 0) return;
     this.#options.log.info(
       { changed, evacuated: this.#evacuations.list() },
-      "Evacuations changed.",
+      "Evacuated failure domains changed.",
     );
     this.#options.onEvacuations(changed);
   }
 
-  #confirm(sentAt: number): void {
+  #recordProof(sentAt: number): void {
     this.#proof.confirm(sentAt);
     this.#recordReachable();
   }
 
-  /** Revisions only grow, so an answer that was overtaken changes nothing. */
+  /** Ignores a configuration that is not newer: responses of the store may arrive out of order. */
   #applyConfig(entry: store.StoreEntry): void {
-    if (entry.modRevision <= this.#revision) return;
+    if (entry.modRevision <= this.#configRevision) return;
     const { log, platform } = this.#options;
     const parsed = platform.parseConfiguration(entry.value);
     const revision = entry.modRevision;
     if (parsed.err) {
-      log.error({ revision, error: parsed.val }, "Configuration unreadable.");
+      log.error(
+        { revision, error: parsed.val },
+        "Configuration is invalid and is ignored.",
+      );
       return;
     }
-    this.#revision = revision;
+    this.#configRevision = revision;
     this.#table = core.buildRouteTable(parsed.val);
     const { version, routes } = parsed.val;
     log.info(
       { revision, version, routes: routes.length },
-      "Configuration in force.",
+      "Configuration applied.",
     );
     this.#options.onConfiguration(this.#table);
   }
 
-  #takeServers(event: store.FeedEvent): void {
+  #handleServersEvent(event: store.FeedEvent): void {
     this.#applyServers(event);
     this.#scheduleExpiry();
   }
@@ -239,28 +245,30 @@
     const now = this.#options.clock.now();
     switch (event.kind) {
       case "failed":
-        this.#list.recordOutage(now);
+        this.#servers.recordOutage(now);
         return this.#recordFailure(event.error);
       case "replaced": {
         const servers = event.entries.flatMap((entry) =>
           this.#parseServer(entry)
         );
-        this.#list.setAll(servers, now);
-        this.#listed = true;
-        return this.#tellServers("read in full");
+        this.#servers.setAll(servers, now);
+        this.#serversLoaded = true;
+        return this.#notifyServers("full read");
       }
       case "changed":
         if (event.changes.length === 0) return;
         event.changes.forEach((change) => this.#applyChange(change, now));
-        return this.#tellServers("changed");
+        return this.#notifyServers("changed");
     }
   }
 
   #applyChange(change: store.Change, now: number): void {
     if (change.kind === "deleted") {
-      return this.#list.remove(this.#getServerId(change.key), now);
+      return this.#servers.remove(this.#getServerId(change.key), now);
     }
-    this.#parseServer(change.entry).forEach((server) => this.#list.put(server));
+    this.#parseServer(change.entry).forEach((server) =>
+      this.#servers.put(server)
+    );
   }
 
   #getServerId(key: string): string {
@@ -272,31 +280,32 @@
     if (parsed.ok) return [parsed.val];
     this.#options.log.warn(
       { key: entry.key, error: parsed.val },
-      "Server entry unreadable.",
+      "Server entry is invalid and is ignored.",
     );
     return [];
   }
 
-  #expire(): void {
+  #expireServers(): void {
     this.#expiry = undefined;
-    if (this.#list.expire(this.#options.clock.now())) {
-      this.#tellServers("did not return");
+    if (this.#servers.expire(this.#options.clock.now())) {
+      this.#notifyServers("missing entries expired");
     }
     this.#scheduleExpiry();
   }
 
-  /** Has the list looked at again while entries are missing. */
+  /** Schedules the next expiry check while entries are missing. */
   #scheduleExpiry(): void {
-    if (this.#expiry !== undefined || !this.#list.hasMissing()) return;
-    this.#expiry = setTimeout(() => this.#expire(), EXPIRE_MS).unref();
+    if (this.#expiry !== undefined || !this.#servers.hasMissing()) return;
+    this.#expiry = setTimeout(() => this.#expireServers(), EXPIRY_CHECK_MS)
+      .unref();
   }
 
-  #tellServers(reason: string): void {
-    const servers = this.#list.list();
+  #notifyServers(reason: string): void {
+    const servers = this.#servers.list();
     const ready = servers.filter((one) => one.state === "ready").length;
     this.#options.log.info(
       { reason, servers: servers.length, ready },
-      "Servers known.",
+      "Server list updated.",
     );
     this.#options.onServers(servers);
   }
@@ -305,14 +314,14 @@
     if (!this.#reachable) return;
     this.#reachable = false;
     this.#options.log.warn(
-      { error, proofAgeMs: this.getAge() },
-      "Store lost.",
+      { error, proofAgeMs: this.getProofAge() },
+      "Store unreachable.",
     );
   }
 
   #recordReachable(): void {
     if (this.#reachable) return;
     this.#reachable = true;
-    this.#options.log.info("Store regained.");
+    this.#options.log.info("Store reachable again.");
   }
 }
--- a/packages/banyangrade/routed/exchange_record.ts
+++ b/packages/banyangrade/routed/exchange_record.ts
@@ -1,52 +1,54 @@
-/** What is logged and measured of one request, from its first attempt to its end. */
+/** Logs and metrics of one request, from its first attempt to its end. */
 import type * as core from "@banyangrade/core";
 import type * as utils from "@banyangrade/utils";
 import type * as metrics from "../metrics.ts";
 import type * as routedExchange from "./routed_exchange.ts";
 
-/** Options of {@link ExchangeRecord}. */
-export interface ExchangeRecordOptions {
+/** Options of {@link ExchangeTelemetry}. */
+export interface ExchangeTelemetryOptions {
   readonly clock: utils.Clock;
   readonly log: utils.Logger;
   readonly metrics: metrics.Metrics;
 }
 
-/** How far a request had come as its caller left. */
-export type LeftStage = "reading" | "queued" | "running" | "answering";
+/** How far a request had come when its caller disconnected. */
+export type RequestStage = "reading" | "queued" | "running" | "answering";
 
-/** Follows one request. */
-export class ExchangeRecord {
-  readonly #options: ExchangeRecordOptions;
+/** Writes the logs and metrics of one request. */
+export class ExchangeTelemetry {
+  readonly #options: ExchangeTelemetryOptions;
   readonly #exchange: routedExchange.ExchangeOptions;
   #attempts = 0;
-  #startedAt = 0;
+  /** When the first attempt was sent; 0 before. */
+  #firstAttemptAt = 0;
+  /** When the first part of the response was sent; 0 before. */
   #firstAt = 0;
   #events = 0;
-  #server = "";
-  /** When the attempt that runs was sent; undefined while none runs. */
-  #sentAt: number | undefined;
-  /** When the caller was found gone, or the request given up. */
+  #lastServer = "";
+  /** When the running attempt was sent; undefined while no attempt runs. */
+  #attemptSentAt: number | undefined;
+  /** When the request was answered, refused or cancelled. */
   #endedAt: number | undefined;
 
   constructor(
-    options: ExchangeRecordOptions,
+    options: ExchangeTelemetryOptions,
     exchange: routedExchange.ExchangeOptions,
   ) {
     this.#options = options;
     this.#exchange = exchange;
   }
 
-  /** Events that the caller has. */
+  /** Returns the number of events that the caller received. */
   getEvents(): number {
     return this.#events;
   }
 
-  /** Server of the last attempt; empty before the first one. */
+  /** Returns the server of the last attempt; empty before the first attempt. */
   getServer(): string {
-    return this.#server;
+    return this.#lastServer;
   }
 
-  recordStart(
+  recordAttemptStart(
     { attempt, server }: {
       readonly attempt: number;
       readonly server: core.ServerInfo;
@@ -56,9 +58,9 @@
     const now = this.#options.clock.now();
     const { head, route, request, table } = this.#exchange;
     this.#attempts += 1;
-    this.#server = server.name;
-    this.#sentAt = now;
-    if (this.#startedAt === 0) this.#startedAt = now;
+    this.#lastServer = server.name;
+    this.#attemptSentAt = now;
+    if (this.#firstAttemptAt === 0) this.#firstAttemptAt = now;
     this.#options.log.info({
       requestId: head.requestId,
       attempt,
@@ -70,13 +72,13 @@
     }, "Attempt started.");
   }
 
-  /** Records events, or a whole answer, that went to the caller. */
+  /** Records events sent to the caller; a complete response counts as zero events. */
   recordEvents(count: number): void {
     if (this.#firstAt === 0) this.#firstAt = this.#options.clock.now();
     this.#events += count;
   }
 
-  recordFailure(
+  recordAttemptFailure(
     { attempt, server }: {
       readonly attempt: number;
       readonly server: core.ServerInfo;
@@ -86,7 +88,7 @@
       readonly reason: string;
     },
   ): void {
-    this.#sentAt = undefined;
+    this.#attemptSentAt = undefined;
     this.#options.metrics.recordFailure(failure);
     this.#options.log.warn({
       requestId: this.#exchange.head.requestId,
@@ -98,27 +100,27 @@
     }, "Attempt failed.");
   }
 
-  /** Records that the caller closed its connection, and how late the host may have noticed. */
-  recordLeft(loopDelayMs: number): void {
+  /** Records that the caller disconnected, and by how much the event loop may have delayed its detection. */
+  recordCallerLeft(loopDelayMs: number): void {
     const { clock, metrics } = this.#options;
     const stage = this.#getStage();
     metrics.recordLeft(stage);
     this.recordEnd("Caller left.", {
       stage,
-      runningMs: this.#sentAt === undefined
+      runningMs: this.#attemptSentAt === undefined
         ? undefined
-        : Math.round(clock.now() - this.#sentAt),
+        : Math.round(clock.now() - this.#attemptSentAt),
       loopDelayMs: Math.round(loopDelayMs),
     });
   }
 
-  #getStage(): LeftStage {
-    if (this.#sentAt === undefined) return "queued";
+  #getStage(): RequestStage {
+    if (this.#attemptSentAt === undefined) return "queued";
     return this.#events > 0 ? "answering" : "running";
   }
 
-  /** Records that an attempt which was given up has let go of its server. */
-  recordStopped({ attempt, server }: {
+  /** Records that a cancelled attempt has released its connection to the server. */
+  recordAttemptStopped({ attempt, server }: {
     readonly attempt: number;
     readonly server: core.ServerInfo;
   }): void {
@@ -143,7 +145,7 @@
     this.#options.metrics.recordFinished({
       className: request.className,
       customer: request.customer,
-      queueMs: this.#startedAt - request.arrivedAt,
+      queueMs: this.#firstAttemptAt - request.arrivedAt,
       firstTokenMs,
       totalMs: now - request.arrivedAt,
       betweenTokensMs,
@@ -154,16 +156,16 @@
 
   recordRefused(
     refusal: core.Refusal,
-    { passedOn }: { readonly passedOn: number | undefined },
+    { forwardedStatus }: { readonly forwardedStatus: number | undefined },
   ): void {
     this.#options.metrics.recordRefusal(refusal);
-    const message = passedOn === undefined
+    const message = forwardedStatus === undefined
       ? "Request refused."
       : "Failure passed on.";
-    this.recordEnd(message, { ...refusal, status: passedOn });
+    this.recordEnd(message, { ...refusal, status: forwardedStatus });
   }
 
-  /** Writes the line with which the request ends. */
+  /** Logs the end of the request. */
   recordEnd(message: string, fields: object): void {
     const { clock, log } = this.#options;
     const { head, request, route } = this.#exchange;
@@ -172,7 +174,7 @@
       requestId: head.requestId,
       route: route.name,
       customer: request.customer,
-      server: this.#server,
+      server: this.#lastServer,
       attempts: this.#attempts,
       events: this.#events,
       totalMs: Math.round(clock.now() - request.arrivedAt),
--- a/packages/banyangrade/routed/host_clocks.ts
+++ b/packages/banyangrade/routed/host_clocks.ts
@@ -1,19 +1,19 @@
-/** The times that a host goes by, none of which its machine's clocks alone give. */
+/** The clocks of a host, corrected for suspensions of the process and for steps of the machine's clock. */
 import * as core from "@banyangrade/core";
 import type * as utils from "@banyangrade/utils";
 
-/** A host's times. */
+/** Clocks of a host. */
 export interface HostClocks {
-  /** For leases and proofs, which go on while the process is suspended. */
+  /** Clock for leases and for the age of data; it includes the time for which the process was suspended. */
   readonly lease: utils.Clock;
-  /** True time of day, Unix ms, whatever the machine's clock says. */
+  /** Returns the corrected time of day, Unix ms, independent of steps of the machine's clock. */
   readonly getTrueTime: () => number;
-  /** Takes over what the other hosts published of their time; returns by how much that moved the true time, in ms. */
-  readonly updateTrueTime: (word: core.OthersTime) => number;
+  /** Corrects the time of day by the times that other hosts published; returns the correction, in ms. */
+  readonly updateTrueTime: (times: core.OthersTime) => number;
 }
 
 /**
- * Makes them from the machine's clocks.
+ * Creates the clocks of a host from the machine's clocks.
  *
  * @example
  * const clocks = createHostClocks(utils.SYSTEM_CLOCK);
@@ -25,6 +25,6 @@
   return {
     lease: { now: () => suspensions.read(readClocks()), wall: clock.wall },
     getTrueTime: () => trueClock.read(readClocks()),
-    updateTrueTime: (word) => trueClock.update(readClocks(), word),
+    updateTrueTime: (times) => trueClock.update(readClocks(), times),
   };
 }
--- a/packages/banyangrade/routed/host_updates.ts
+++ b/packages/banyangrade/routed/host_updates.ts
@@ -1,11 +1,11 @@
-/** What a host takes over from the store and the other hosts, and what it tells them. */
+/** Applies updates from the store and the other hosts, and describes this host to them. */
 import * as core from "@banyangrade/core";
 import type * as routedParts from "./routed_parts.ts";
 
 type Parts = routedParts.RoutedParts;
 
 /**
- * What this host tells the others.
+ * Describes the status of this host for the other hosts.
  *
  * @example
  * presence.describe = () => describeHost(parts);
@@ -28,7 +28,7 @@
 }
 
 /**
- * Takes over the list of backend servers.
+ * Applies a new list of backend servers.
  *
  * @example
  * applyServers(parts, belief.listServers());
@@ -41,7 +41,7 @@
     (belief.getTable()?.configuration.services ?? [])
       .map((one) => [one.name, one]),
   );
-  coldStarts.setAll(listed.map(toColdWord), clock.now());
+  coldStarts.setAll(listed.map(toColdState), clock.now());
   const servers = listed.map((server) => {
     const name = getServerName(server);
     const service = services.get(server.service);
@@ -51,13 +51,13 @@
     const isEvacuated = belief.isEvacuated(server.failureDomain);
     return toServerInfo(server, { name, limit, isEvacuated, coldMs });
   });
-  pools.keep(new Set(servers.map((server) => server.name)));
+  pools.closeUnlisted(new Set(servers.map((server) => server.name)));
   dispatch.send({ kind: "servers_changed", servers });
 }
 
 /**
- * Takes over which failure domains are emptied. The servers of one that is used
- * again may have become cold since they last said that they are not.
+ * Applies changes of the evacuated failure domains. When an evacuation ends, the
+ * servers of the failure domain may have become cold since they last reported.
  *
  * @example
  * applyEvacuations(parts, ["rosenheim"]);
@@ -73,12 +73,12 @@
 }
 
 /**
- * Takes over what is known of all other hosts.
+ * Applies the summary of all other hosts.
  *
  * @example
  * applyOthers(parts, summary);
  */
-export function applyOthers(
+export function applyHostsSummary(
   { budget, clock, clocks, dispatch, log, pools }: Parts,
   others: core.HostsSummary,
 ): void {
@@ -99,11 +99,14 @@
   }
   const movedMs = clocks.updateTrueTime({ others: others.times });
   if (movedMs !== 0) {
-    log.warn({ movedMs, hosts: others.times.length }, "clock: Time moved.");
+    log.warn(
+      { movedMs, hosts: others.times.length },
+      "clock: Time of day corrected by the times of the other hosts.",
+    );
   }
 }
 
-/** A server that started again under its identifier is another one: it knows nothing of the first. */
+/** Returns a name that is unique to a server's incarnation: a restarted server keeps its identifier but has lost its state. */
 function getServerName(listed: core.ListedServer): string {
   return `${listed.id}@${listed.bornAt}`;
 }
@@ -130,7 +133,7 @@
   };
 }
 
-function toColdWord(listed: core.ListedServer): core.ColdWord {
+function toColdState(listed: core.ListedServer): core.ColdWord {
   return {
     name: getServerName(listed),
     failureDomain: listed.failureDomain,
--- a/packages/banyangrade/routed/ingress.ts
+++ b/packages/banyangrade/routed/ingress.ts
@@ -1,15 +1,15 @@
 /**
- * The HTTP server for callers of routes. It reads whole requests within the
- * operators' limits and ends connections without losing a request.
+ * The HTTP server for callers. It reads whole requests within the operators'
+ * limits and closes connections without losing a request.
  */
 import * as http from "node:http";
 import type * as net from "node:net";
 import type * as core from "@banyangrade/core";
 import type * as ports from "./ports.ts";
 
-/** Largest head that is read at all; the operators' limit is below it. */
-const MAX_HEAD_BYTES = 64 * 1024;
-/** Time that idle connections are kept beyond the operators' limit, in ms. */
+/** Hard limit on the request line and headers, in bytes; the operators' limit is lower. */
+const MAX_HEADER_BYTES = 64 * 1024;
+/** Time for which idle connections are kept beyond the operators' limit, in ms. */
 const IDLE_MARGIN_MS = 2_000;
 
 /** A caller's request. */
@@ -19,25 +19,25 @@
   readonly path: string;
   readonly host: string;
   readonly headers: ports.Headers;
-  readonly answer: IngressAnswer;
-  readonly readBody: (maxBytes: number) => Promise<BodyRead>;
-  /** Whether the caller has closed its connection, as far as that was read. */
-  readonly isGone: () => boolean;
-  /** Told when the caller is gone before its answer is whole. */
-  readonly onGone: (listener: () => void) => void;
+  readonly answer: CallerResponse;
+  readonly readBody: (maxBytes: number) => Promise<BodyResult>;
+  /** Whether the caller is known to have closed its connection. */
+  readonly isDisconnected: () => boolean;
+  /** Registers a listener that is called if the caller disconnects before its response is complete. */
+  readonly onDisconnect: (listener: () => void) => void;
 }
 
-/** What came of reading a body. */
-export type BodyRead =
+/** Result of reading a request body. */
+export type BodyResult =
   | { readonly kind: "whole"; readonly body: Buffer }
   | { readonly kind: "too_large" }
-  /** The caller broke off. */
+  /** The caller disconnected before the body was complete. */
   | { readonly kind: "left" };
 
-/** The way back to one caller. */
-export interface IngressAnswer {
-  readonly isBegun: () => boolean;
-  /** Sends a whole answer. */
+/** The response to one caller. */
+export interface CallerResponse {
+  readonly isStarted: () => boolean;
+  /** Sends a complete response. */
   readonly send: (
     answer: {
       readonly status: number;
@@ -45,7 +45,7 @@
       readonly body: Buffer | string;
     },
   ) => void;
-  /** Sends a part of a stream; waits while the caller is slow. */
+  /** Sends a part of a stream; waits while the caller's connection applies backpressure. */
   readonly write: (
     head: {
       readonly status: number;
@@ -54,7 +54,7 @@
     bytes: Buffer,
   ) => Promise<void>;
   readonly end: () => void;
-  /** Breaks the connection off, so that a part cannot pass for a whole answer. */
+  /** Closes the connection abruptly, so that the caller does not take a partial response for a complete one. */
   readonly destroy: () => void;
 }
 
@@ -63,37 +63,37 @@
   readonly hostname: string;
   readonly port: number;
   readonly onRequest: (request: IncomingRequest) => void;
-  /** Whether each answer asks the caller to use another connection. */
-  readonly isLeaving: () => boolean;
+  /** Whether responses carry "connection: close", so that callers open new connections. */
+  readonly closesConnections: () => boolean;
 }
 
-/** A running server. */
+/** A running HTTP server for callers. */
 export interface Ingress {
   readonly port: number;
-  /** Takes over the operators' limits. */
+  /** Applies the operators' limits. */
   readonly setLimits: (limits: core.RoutingLimits) => void;
-  /** Takes no new connections, and closes those that are idle. */
+  /** Stops accepting connections and closes idle ones. */
   readonly drain: () => void;
   readonly close: () => void;
 }
 
 /**
- * Starts the server.
+ * Starts the HTTP server for callers.
  *
  * @example
  * const ingress = await startIngress({ hostname, port, onRequest, isLeaving });
  */
 export async function startIngress(options: IngressOptions): Promise<Ingress> {
   const server = http.createServer({
-    maxHeaderSize: MAX_HEAD_BYTES,
-    // Bodies may take as long as their deadline allows.
+    maxHeaderSize: MAX_HEADER_BYTES,
+    // The request's own deadline limits how long its body may take.
     requestTimeout: 0,
     keepAlive: true,
     noDelay: true,
   }, (request, response) => {
-    if (options.isLeaving()) response.setHeader("connection", "close");
+    if (options.closesConnections()) response.setHeader("connection", "close");
     response.sendDate = false;
-    options.onRequest(buildIncoming(request, response));
+    options.onRequest(buildIncomingRequest(request, response));
   });
   await new Promise<void>((resolve, reject) => {
     server.once("error", reject);
@@ -116,55 +116,59 @@
   };
 }
 
-function buildIncoming(
+function buildIncomingRequest(
   request: http.IncomingMessage,
   response: http.ServerResponse,
 ): IncomingRequest {
-  const caller = watchCaller(request, response);
+  const connection = watchConnection(request, response);
   return {
     method: request.method ?? "GET",
     path: request.url ?? "/",
     host: request.headers.host ?? "",
     headers: request.headers,
-    answer: buildAnswer(response),
+    answer: buildCallerResponse(response),
     readBody: (maxBytes) => readBody(request, maxBytes),
-    ...caller,
+    ...connection,
   };
 }
 
-/** Follows a caller's connection from its request on: what closes before anybody listens is known later too. */
-function watchCaller(
+/** Watches a caller's connection from the start of its request, so that a listener registered after the connection closed is still called. */
+function watchConnection(
   request: http.IncomingMessage,
   response: http.ServerResponse,
-): Pick<IncomingRequest, "isGone" | "onGone"> {
+): Pick<IncomingRequest, "isDisconnected" | "onDisconnect"> {
   const { socket } = request;
   const listeners: (() => void)[] = [];
-  let gone = false;
-  const markGone = () => {
-    if (gone || response.writableFinished) return;
-    gone = true;
+  let disconnected = false;
+  const markDisconnected = () => {
+    if (disconnected || response.writableFinished) return;
+    disconnected = true;
     listeners.forEach((listener) => listener());
   };
-  // The end of what the caller sends is read some turns before its connection is closed.
-  socket.once("end", markGone);
+  // The socket emits "end" some event loop turns before the response emits "close".
+  socket.once("end", markDisconnected);
   response.once("close", () => {
-    socket.off("end", markGone);
-    markGone();
+    socket.off("end", markDisconnected);
+    markDisconnected();
   });
   return {
-    isGone: () => gone,
-    onGone: (listener) => {
-      if (gone) return listener();
+    isDisconnected: () => disconnected,
+    onDisconnect: (listener) => {
+      if (disconnected) return listener();
       listeners.push(listener);
     },
   };
 }
 
-/** Ends an answer to a request that is not yet read whole: what follows would be taken for the next one. */
-function buildAnswer(response: http.ServerResponse): IngressAnswer {
+/**
+ * Builds the response to a caller. If the request has not been read completely,
+ * the response closes the connection: the rest of the body would otherwise be
+ * parsed as the next request.
+ */
+function buildCallerResponse(response: http.ServerResponse): CallerResponse {
   const isOpen = () => !response.destroyed && !response.writableEnded;
   return {
-    isBegun: () => response.headersSent,
+    isStarted: () => response.headersSent,
     send: ({ status, headers, body }) => {
       if (!isOpen()) return;
       if (!response.req.complete) response.setHeader("connection", "close");
@@ -187,7 +191,7 @@
 async function readBody(
   request: http.IncomingMessage,
   maxBytes: number,
-): Promise<BodyRead> {
+): Promise<BodyResult> {
   const chunks: Buffer[] = [];
   let size = 0;
   try {
--- a/packages/banyangrade/routed/orders_round.ts
+++ b/packages/banyangrade/routed/orders_round.ts
@@ -1,60 +1,63 @@
-/** What the host in charge decides of backend servers: how many there are, and how engines are divided. */
+/**
+ * Scales the backend servers and divides engines between short and long prompts;
+ * run by the host that holds the control roles.
+ */
 import * as core from "@banyangrade/core";
 import type * as utils from "@banyangrade/utils";
 import type * as ports from "./ports.ts";
 
-/** Time after which an order that shows no effect is sent again, in ms, beyond the time a server takes to start. */
-const REPEAT_MS = 3_000;
+/** Time after which an order without effect is sent again, in ms, in addition to the boot time of a server. */
+const RESEND_MS = 3_000;
 
-/** Options of {@link OrdersRound}. */
-export interface OrdersRoundOptions {
+/** Options of {@link ScalingOrders}. */
+export interface ScalingOrdersOptions {
   readonly settings: Pick<ports.RoutedSettings, "failureDomains">;
   readonly platform: Pick<ports.Platform, "sendOrder">;
-  /** Counts suspensions, so that a lease does not outlast one. */
+  /** Includes the time for which the process was suspended, so that a lease expires meanwhile. */
   readonly clock: utils.Clock;
   readonly log: utils.Logger;
   readonly getLease: () => core.LeaseState;
   readonly getTrueTime: () => number;
   readonly getConfiguration: () => core.RoutingConfiguration | undefined;
   readonly listServers: () => readonly core.ListedServer[];
-  /** Whether operators have a failure domain emptied. */
+  /** Whether a failure domain is being evacuated by the operators. */
   readonly isEvacuated: (failureDomain: string) => boolean;
-  /** The published statuses of all hosts. */
+  /** Returns the published statuses of all hosts. */
   readonly listStatuses: () => readonly core.HostStatus[];
 }
 
 interface SentOrder {
   readonly order: ports.DomainOrder;
   readonly at: number;
-  /** Most servers of the kind that were ready since. */
-  most: number;
-  /** Set where its answer was lost: it may be carried out late, or never. */
+  /** Highest number of servers of this kind that were ready since the order was sent. */
+  mostReady: number;
+  /** Whether the response was lost: the order may still be carried out, or never. */
   unanswered: boolean;
 }
 
-/** An order before its fencing token is known. */
+/** An order without its fencing token. */
 interface PlannedOrder {
   readonly order: Omit<ports.DomainOrder, "fencingToken">;
-  /** Time that a server takes to start, in ms. */
+  /** Boot time of a server, in ms. */
   readonly bootMs: number;
-  /** What it was decided by. */
+  /** Demand for which the order was planned; logged with it. */
   readonly demand: core.PromptDemand;
 }
 
-/** Plans and sends orders, round by round. */
-export class OrdersRound {
-  readonly #options: OrdersRoundOptions;
+/** Plans and sends the scaling orders, round by round. */
+export class ScalingOrders {
+  readonly #options: ScalingOrdersOptions;
   readonly #planners = new Map<string, core.DomainPlanner>();
   readonly #sent = new Map<string, SentOrder>();
-  /** Orders that have no answer yet. */
-  readonly #calling = new Set<string>();
+  /** Keys of orders that have no response yet. */
+  readonly #inFlight = new Set<string>();
   #divisions: core.DecidedDivisions | undefined;
 
-  constructor(options: OrdersRoundOptions) {
+  constructor(options: ScalingOrdersOptions) {
     this.#options = options;
   }
 
-  /** Forgets what was sent: another host may have sent something else since. */
+  /** Forgets the sent orders after a change of the lease: another host may have sent different ones. */
   forgetSent(): void {
     this.#sent.clear();
   }
@@ -64,7 +67,7 @@
   }
 
   /** Decides how engines are divided between short and long prompts. */
-  divide(): void {
+  divideEngines(): void {
     const { listStatuses, getTrueTime, getConfiguration } = this.#options;
     const services = getConfiguration()?.services ?? [];
     const statuses = core.listCurrentStatuses(listStatuses());
@@ -82,10 +85,10 @@
       }),
     );
     this.#divisions = { at: getTrueTime(), byService };
-    this.#recordChanges(before, byService);
+    this.#recordDivisionChanges(before, byService);
   }
 
-  #recordChanges(
+  #recordDivisionChanges(
     before: core.DecidedDivisions["byService"],
     now: core.DecidedDivisions["byService"],
   ): void {
@@ -98,12 +101,12 @@
         );
         this.#options.log.info(
           { service, division, demand },
-          "Engines divided.",
+          "Engine division changed.",
         );
       });
   }
 
-  /** Sends the orders that are due, all at once: one that gets no answer must not hold up the others. */
+  /** Sends all due orders concurrently, so that an order without a response does not delay the rest. */
   send(): void {
     const services = this.#options.getConfiguration()?.services ?? [];
     services.forEach((service) => this.#sendService(service));
@@ -115,11 +118,11 @@
     );
   }
 
-  /** Counts the servers that are ready of what an order is for. */
-  #countOrdered({ order }: PlannedOrder): number {
-    const there = this.#countServers(order.service)
+  /** Counts the ready servers of the service, failure domain and kind of an order. */
+  #countReady({ order }: PlannedOrder): number {
+    const domain = this.#countServers(order.service)
       .find((one) => one.failureDomain === order.failureDomain);
-    return (order.spot ? there?.spot : there?.ordinary) ?? 0;
+    return (order.spot ? domain?.spot : domain?.ordinary) ?? 0;
   }
 
   #planService(service: core.RoutedService): PlannedOrder[] {
@@ -156,10 +159,11 @@
 
   #countServers(service: string): core.DomainServers[] {
     const ready = this.#listReady(service);
-    // One that is emptied is left as it is: its servers return with it.
-    const open = this.#options.settings.failureDomains
+    // The servers of an evacuated failure domain are kept: they are used again when
+    // the evacuation ends.
+    const usableDomains = this.#options.settings.failureDomains
       .filter((one) => !this.#options.isEvacuated(one));
-    return open.map((failureDomain) => {
+    return usableDomains.map((failureDomain) => {
       const own = ready.filter((one) => one.failureDomain === failureDomain);
       const spot = own.filter((one) => one.spot).length;
       return { failureDomain, spot, ordinary: own.length - spot };
@@ -174,54 +178,59 @@
     const { order: wanted } = planned;
     const key = `${wanted.service}/${wanted.failureDomain}/${wanted.spot}`;
     const now = clock.now();
-    const count = this.#countOrdered(planned);
+    const count = this.#countReady(planned);
     const due = isDue(planned, { sent: this.#sent.get(key), now, count });
-    if (!due || this.#calling.has(key)) return;
+    if (!due || this.#inFlight.has(key)) return;
     const lease = this.#options.getLease();
-    // No await between this check and the send: a process that was paused
-    // finds out here that its lease is over.
+    // There must be no await between this check and the send: a process that was
+    // paused would otherwise send an order after its lease has expired.
     if (lease.kind === "none" || !core.mayAct(lease, now)) return;
     const order = { ...wanted, fencingToken: lease.token };
-    const record = { order, at: now, most: count, unanswered: false };
+    const record = { order, at: now, mostReady: count, unanswered: false };
     this.#sent.set(key, record);
-    this.#calling.add(key);
+    this.#inFlight.add(key);
     const sent = await platform.sendOrder(order);
-    this.#calling.delete(key);
+    this.#inFlight.delete(key);
     const error = sent.err ? sent.val : undefined;
-    log.info({ ...order, demand: planned.demand, error }, "Ordered.");
+    log.info(
+      { ...order, demand: planned.demand, error },
+      "Scaling order sent.",
+    );
     if (sent.ok) return;
     const planner = this.#planners.get(wanted.service);
     if (sent.val.code === "unknown_outcome") {
       record.unanswered = true;
       planner?.recordUnanswered(wanted, clock.now());
     }
-    // Another holder was seen, or there are no such servers: the same answer.
+    // A conflict means that a newer lease holder was seen, or that the platform has
+    // no reclaimable servers left. It does not say which, so the latter is assumed.
     if (!wanted.spot || sent.val.code !== "conflict") return;
     this.#sent.delete(key);
     planner?.recordUnavailable(wanted.failureDomain, now);
-    // Others are needed in their place, and take some seconds to start.
+    // Their replacements are ordered at once, as they take seconds to boot.
     this.#sendService(service);
   }
 }
 
 /**
- * Whether an order is new, got no answer, or was sent and has shown no effect;
- * or servers are gone that were there since. After a reclaim no second is lost
- * until the platform says whether there are more: it may take the servers that
- * were still starting as well, so fewer than were ordered had been seen.
+ * Whether an order must be sent: it is new, its response was lost, it had no
+ * effect in time, or servers were lost since. The loss is measured against the
+ * highest number of ready servers, not the ordered number: the platform may
+ * reclaim servers that are still booting, and waiting for these would delay their
+ * replacement.
  */
 function isDue(
   { order: wanted, bootMs }: PlannedOrder,
   { sent, now, count }: {
     readonly sent: SentOrder | undefined;
     readonly now: number;
-    /** Servers of the kind that are ready. */
+    /** Number of ready servers of this kind. */
     readonly count: number;
   },
 ): boolean {
   if (sent === undefined || sent.order.count !== wanted.count) return true;
-  const lost = count < Math.min(sent.most, wanted.count);
-  sent.most = Math.max(sent.most, count);
-  const isLate = now - sent.at > bootMs + REPEAT_MS;
+  const lost = count < Math.min(sent.mostReady, wanted.count);
+  sent.mostReady = Math.max(sent.mostReady, count);
+  const isLate = now - sent.at > bootMs + RESEND_MS;
   return lost || count !== wanted.count && (sent.unanswered || isLate);
 }
--- a/packages/banyangrade/routed/ports.ts
+++ b/packages/banyangrade/routed/ports.ts
@@ -1,6 +1,6 @@
 /**
- * What serving by routes needs of a deployment's platform. An adapter
- * implements these and translates names and formats; it decides nothing.
+ * Interfaces to a deployment's platform. An adapter implements them; it translates
+ * names and formats and contains no decisions.
  */
 import type * as http from "node:http";
 import type * as core from "@banyangrade/core";
@@ -9,7 +9,7 @@
 import type * as usage from "@banyangrade/usage";
 import type * as utils from "@banyangrade/utils";
 
-/** Headers as Node gives them: names in lower case. */
+/** HTTP headers as Node.js provides them, with names in lower case. */
 export type Headers = http.IncomingHttpHeaders;
 
 /** A part of a prompt that other requests may share. */
@@ -18,45 +18,45 @@
   readonly tokens: number;
 }
 
-/** What a caller's headers say. */
+/** Fields of a request that are read from the caller's headers. */
 export interface RequestHead {
-  /** Identifier of this sending; undefined if it is missing. */
+  /** Identifier that the caller gave this attempt of its request; undefined if it is missing. */
   readonly requestId: string | undefined;
-  /** How long the caller waits, in ms. */
+  /** Time for which the caller waits, in ms; undefined if not given. */
   readonly deadlineMs: number | undefined;
   readonly key: string | undefined;
   /** Identifier of the last event that the caller has; -1 before the first. */
   readonly lastEventId: number;
   readonly promptTokens: number;
-  /** Most tokens that are generated. */
+  /** Largest number of tokens to generate. */
   readonly maxTokens: number;
-  /** Parts of the prompt in their order, the request's own last. */
+  /** Parts of the prompt in order; the last one belongs to this request alone. */
   readonly parts: readonly PromptPart[];
 }
 
-/** What an attempt tells its server, beside the caller's own headers. */
+/** Fields that an attempt sends to its backend server in addition to the caller's headers. */
 export interface AttemptHead {
-  /** What is left of the caller's time, in ms. */
+  /** Time that remains until the caller's deadline, in ms. */
   readonly deadlineMs: number;
   readonly customer: string | undefined;
-  /** The server that is meant; any other one refuses. */
+  /** Identifier of the addressed server; a server with another identifier refuses the attempt. */
   readonly instance: string;
   /** Identifier of the last event that the caller has; -1 before the first. */
   readonly lastEventId: number;
   /** Priority tier; 1 is the highest. Undefined for services without one. */
   readonly tier: number | undefined;
-  /** IP number and port of an engine from which the beginning of the prompt may be fetched. */
+  /** IP address and port of an engine from which the cached beginning of the prompt may be fetched. */
   readonly promptSource: string | undefined;
 }
 
-/** Names and formats of the messages of callers and backend servers. */
+/** Header names and formats of the messages of callers and backend servers. */
 export interface WireFormat {
   readonly readRequest: (headers: Headers) => RequestHead;
   readonly buildAttempt: (head: AttemptHead) => Record<string, string>;
   readonly readMarks: service.ForwardCall["readMarks"];
-  /** Headers that this system sets; a caller's own are dropped. */
+  /** Headers that only the host may set; they are dropped from callers' requests. */
   readonly reserved: ReadonlySet<string>;
-  /** Path that the platform's balancer asks for readiness. */
+  /** Path of the readiness endpoint for the platform's load balancer. */
   readonly readinessPath: string;
 }
 
@@ -64,7 +64,7 @@
 export interface DomainOrder {
   readonly service: string;
   readonly failureDomain: string;
-  /** Whether reclaimable servers are meant. */
+  /** Whether the order is for reclaimable (spot) servers. */
   readonly spot: boolean;
   readonly count: number;
   readonly fencingToken: number;
@@ -73,19 +73,19 @@
 /** The platform's services. */
 export interface Platform {
   readonly store: store.KeyValueClient & store.FeedClient;
-  /** Key prefix of all that operators write. */
+  /** Key prefix of all entries that operators write. */
   readonly operatorPrefix: string;
-  /** Key under which the operators' configuration lies. */
+  /** Key of the operators' configuration. */
   readonly configurationKey: string;
-  /** Key prefix of the failure domains to be emptied; what follows is the name of one. */
+  /** Key prefix of evacuations; the name of the failure domain follows. */
   readonly evacuationPrefix: string;
   /** Key prefix under which backend servers register themselves. */
   readonly serversPrefix: string;
-  /** Decodes the operators' configuration; the error names the field. */
+  /** Decodes the operators' configuration; the error names the invalid field. */
   readonly parseConfiguration: (
     value: string,
   ) => utils.Result<core.RoutingConfiguration, string>;
-  /** Decodes a server's entry; the error says what makes it unusable. */
+  /** Decodes a server's entry; the error says what is invalid. */
   readonly parseServer: (
     entry: store.StoreEntry,
   ) => utils.Result<core.ListedServer, string>;
@@ -96,36 +96,36 @@
   readonly wire: WireFormat;
 }
 
-/** Settings of a host that serves by routes. Times in ms. */
+/** Settings of a host that serves requests by the operators' routes. Times in ms. */
 export interface RoutedSettings {
   readonly host: string;
   readonly failureDomain: string;
-  /** Failure domains of the deployment. */
+  /** All failure domains of the deployment. */
   readonly failureDomains: readonly string[];
-  /** Region of each of them. */
+  /** Region of each failure domain. */
   readonly regions: ReadonlyMap<string, string>;
   readonly callerAddress: string;
   readonly readinessAddress: string;
-  /** Where other hosts reach this one; undefined if each follows the store by itself. */
+  /** Address at which other hosts reach this one; undefined if each host follows the store directly. */
   readonly peerAddress: string | undefined;
-  /** Where metrics are served; undefined for nowhere. */
+  /** Address at which metrics are served; undefined to serve none. */
   readonly metricsAddress: string | undefined;
   readonly retries: core.RetryBound;
-  /** Time after which a withdrawn key must not start anything. */
+  /** Time after which a withdrawn key must not start any attempt. */
   readonly withdrawMs: number;
-  /** Bound on what a cold server may get; undefined where there is none. */
+  /** Limit on requests to a cold server; undefined for no limit. */
   readonly coldBound: core.ColdBound | undefined;
-  /** Time within which a leaving server must get no more work. */
+  /** Time after which a leaving server must get no more requests. */
   readonly leaveMs: number;
   readonly leaseMs: number;
   readonly usageWindowMs: number;
   /** Time after a window's end by which its report is due. */
   readonly usageDueMs: number;
-  /** Time that a planned stop may take. */
+  /** Grace period of a planned stop. */
   readonly graceMs: number;
-  /** Which control roles the deployment has. */
+  /** Control roles that the deployment uses. */
   readonly roles: readonly ControlRole[];
 }
 
-/** Work that one host at a time does for all. */
+/** Work that a single host does for the whole deployment. */
 export type ControlRole = "usage" | "orders";
--- a/packages/banyangrade/routed/presence_task.ts
+++ b/packages/banyangrade/routed/presence_task.ts
@@ -1,8 +1,8 @@
 /**
- * What hosts tell each other: that they live, what they serve and what they
- * counted. A host tells its relay. The relay publishes the statuses of all its
- * followers in one entry of the store, under a lease, so that what a host
- * counted outlasts both; and it exchanges sums of them with the other relays.
+ * Exchanges host statuses: heartbeats with the load and the usage counts of each
+ * host. A host reports to its relay. The relay publishes the statuses of all its
+ * followers in one entry of the store under a lease, so that usage counts outlast
+ * both the host and the relay. Relays also exchange summaries with each other.
  */
 import * as core from "@banyangrade/core";
 import type * as peer from "@banyangrade/peer";
@@ -10,30 +10,33 @@
 import * as utils from "@banyangrade/utils";
 import type * as relayTask from "./relay_task.ts";
 
-/** Prefix of the entries. */
+/** Key prefix of the published statuses. */
 const PREFIX = "banyangrade/hosts/";
-/** Length of a round, in ms; also what a host that is killed loses of its counts. */
+/** Interval between rounds, in ms; a host that is killed loses the usage counts of at most one round. */
 const ROUND_MS = 1_000;
-/** Time until the first round, in ms: the relay is found by then, and until it this host does not know how many share the retry budget. */
+/**
+ * Delay of the first round, in ms. It is long enough to find the relay, and short
+ * because the host does not know until then how many hosts share the retry budget.
+ */
 const FIRST_ROUND_MS = 300;
-/** Rounds after which a host without a role looks at the entries: for relays that are new. */
-const ROUNDS_PER_LOOK = 4;
-/** Tries to publish in one round: after the entry and its lease have both gone. */
+/** Number of rounds after which a host without a role reads the published statuses again, to find new relays. */
+const ROUNDS_PER_READ = 4;
+/** Attempts to publish in one round; enough if the lease and the entry have both expired. */
 const PUBLISH_TRIES = 3;
-/** Time since its last publication for which a relay says that it publishes, in ms: two rounds and a slow call. */
-const PUBLISHES_MS = 2_500;
-/** Between two renewals of the entry's lease, in ms. */
+/** Time since its last publication for which a relay counts as publishing, in ms; two rounds and a slow call. */
+const RECENT_PUBLISH_MS = 2_500;
+/** Interval between renewals of the entry's lease, in ms. */
 const RENEW_MS = 4_000;
 
-/** What one entry of the store holds. */
+/** Value of an entry under the prefix. */
 interface PublishedStatuses {
-  /** How other relays reach the host that published it; absent if it is none. */
+  /** How other relays reach the publishing host; absent if it is no relay. */
   readonly contact?: store.RoleContact;
   readonly statuses: readonly core.HostStatus[];
 }
 
-/** Options of {@link PresenceTask}. */
-export interface PresenceOptions {
+/** Options of {@link HostStatusTask}. */
+export interface HostStatusOptions {
   readonly store: store.KeyValueClient;
   readonly clock: utils.Clock;
   readonly log: utils.Logger;
@@ -44,27 +47,28 @@
     "callRelay" | "callContact" | "getContact" | "closeIdle"
   >;
   readonly describe: () => core.HostStatus;
-  /** Whether this host holds a role, for which it looks at the entries often. */
+  /** Whether this host holds a control role and must read the published statuses in each round. */
   readonly hasRole: () => boolean;
-  /** How engines are divided, if this host decides it. */
+  /** Returns how engines are divided between short and long prompts; undefined if another host decides it. */
   readonly getDivisions: () => core.DecidedDivisions | undefined;
-  /** Told what is known of all other hosts. */
-  readonly onOthers: (summary: core.HostsSummary) => void;
+  /** Called with the summary of all other hosts. */
+  readonly onSummary: (summary: core.HostsSummary) => void;
 }
 
-interface Received {
+interface ReceivedSummary {
   readonly summary: core.HostsSummary;
   readonly at: number;
 }
 
-/** Tells of this host, and hears of the others. */
-export class PresenceTask {
-  readonly #options: PresenceOptions;
-  /** Own statuses and those of followers. */
+/** Reports the status of this host and collects those of the other hosts. */
+export class HostStatusTask {
+  readonly #options: HostStatusOptions;
+  /** Statuses of this host and its followers. */
   readonly #statuses = new core.HostStatuses();
-  /** Other relays by address, and what they last summed up. */
+  /** The other relays. */
   #contacts: readonly store.RoleContact[] = [];
-  readonly #received = new Map<string, Received>();
+  /** Last summary of each other relay, by address. */
+  readonly #received = new Map<string, ReceivedSummary>();
   readonly #stops: (() => void)[] = [];
   #lease: string | undefined;
   #revision = 0;
@@ -74,7 +78,7 @@
   #round = 0;
   #readAt = Number.NEGATIVE_INFINITY;
 
-  constructor(options: PresenceOptions) {
+  constructor(options: HostStatusOptions) {
     this.#options = options;
   }
 
@@ -83,55 +87,57 @@
     this.#stops.push(
       () => clearTimeout(first),
       utils.startInterval(ROUND_MS, () => this.#runRound()),
-      utils.startInterval(RENEW_MS, () => this.#renew()),
+      utils.startInterval(RENEW_MS, () => this.#renewLease()),
     );
   }
 
-  /** Tells the last counts; they stay until the lease ends. */
+  /** Reports the last usage counts; they stay in the store until the lease ends. */
   async stop(): Promise<void> {
     this.#stops.splice(0).forEach((stop) => stop());
-    this.#takeOwn();
+    this.#recordOwnStatus();
     const answer = await this.#reportToRelay();
     if (answer?.publishes) return;
-    // There is no time to find out that the store is still away.
-    const silent = this.#options.clock.now() - this.#publishedAt > PUBLISHES_MS;
+    // The store may be unreachable, and the grace period does not allow waiting
+    // for a publication to fail before the statuses go to another relay.
+    const isPublishStale =
+      this.#options.clock.now() - this.#publishedAt > RECENT_PUBLISH_MS;
     await Promise.all([
       this.#publish(),
-      ...(silent ? [this.#forwardStatuses()] : []),
+      ...(isPublishStale ? [this.#forwardStatuses()] : []),
     ]);
   }
 
   /**
-   * The statuses of all hosts as last published, the newest of each process;
-   * those of earlier processes included, whose counts still stand.
+   * Returns the last published status of each process of all hosts, including
+   * earlier processes, whose usage counts remain valid.
    */
   listPublished(): readonly core.HostStatus[] {
     return this.#published;
   }
 
-  /** Monotonic time at which they were read; before the first time, none is. */
+  /** Returns the monotonic time at which the published statuses were read; -Infinity before the first read. */
   getReadAt(): number {
     return this.#readAt;
   }
 
-  /** Takes a follower's statuses, its own first, and says what is known of the others. */
-  takeStatuses(statuses: readonly core.HostStatus[]): peer.ReportAnswer {
+  /** Accepts the statuses that a follower reports, its own first, and returns the summary of the other hosts. */
+  acceptStatuses(statuses: readonly core.HostStatus[]): peer.ReportAnswer {
     const now = this.#options.clock.now();
     statuses.forEach((status, index) =>
       this.#statuses.take(status, { now, direct: index === 0 })
     );
     return {
       others: this.#sumOthers({ without: statuses[0]?.host ?? "" }),
-      publishes: now - this.#publishedAt <= PUBLISHES_MS,
+      publishes: now - this.#publishedAt <= RECENT_PUBLISH_MS,
     };
   }
 
-  /** Hosts that follow the store itself, as far as they are known: the relays. */
+  /** Counts the hosts that follow the store directly: the known relays, this host included. */
   countRelays(): number {
     return this.#contacts.length + 1;
   }
 
-  /** Sums up this host and its followers, for other relays. */
+  /** Summarizes this host and its followers for other relays. */
   getSummary(): core.HostsSummary {
     const sum = this.#statuses.sum(this.#options.clock.now());
     return { ...sum, ...this.#describeDivisions() };
@@ -145,27 +151,29 @@
   async #runRound(): Promise<void> {
     const { hasRole, relay, host } = this.#options;
     this.#round += 1;
-    this.#takeOwn();
+    this.#recordOwnStatus();
     const answer = await this.#reportToRelay();
-    // Before any call to the store, which may take long: times grow old.
-    if (answer !== undefined) this.#options.onOthers(answer.others);
-    // A relay that has just started publishes a moment later.
-    const isEarly = answer !== undefined && this.#round === 1;
-    if (!answer?.publishes && !isEarly) await this.#publish();
-    const looks = answer === undefined && this.#round % ROUNDS_PER_LOOK === 1;
-    if (looks || hasRole()) await this.#readPublished();
+    // The summary is applied before any call to the store: such a call may take
+    // long, and the times of the other hosts in the summary would be outdated.
+    if (answer !== undefined) this.#options.onSummary(answer.others);
+    // In the first round the relay may have just started and not have published.
+    const isFirstRound = answer !== undefined && this.#round === 1;
+    if (!answer?.publishes && !isFirstRound) await this.#publish();
+    const readsPublished = answer === undefined &&
+      this.#round % ROUNDS_PER_READ === 1;
+    if (readsPublished || hasRole()) await this.#readPublished();
     if (answer !== undefined) return;
-    if (relay.getContact() !== undefined) await this.#askRelays();
-    this.#options.onOthers(this.#sumOthers({ without: host }));
+    if (relay.getContact() !== undefined) await this.#fetchSummaries();
+    this.#options.onSummary(this.#sumOthers({ without: host }));
     relay.closeIdle();
   }
 
-  #takeOwn(): void {
+  #recordOwnStatus(): void {
     const { clock, describe } = this.#options;
     this.#statuses.take(describe(), { now: clock.now(), direct: true });
   }
 
-  /** Tells the relay; undefined if there is none that answers. */
+  /** Reports to the relay; returns undefined if no relay answers. */
   #reportToRelay(): Promise<peer.ReportAnswer | undefined> {
     const statuses = [this.#options.describe()];
     return this.#options.relay.callRelay({
@@ -175,9 +183,9 @@
   }
 
   /**
-   * Gives the statuses to any other relay. The store turns this host away while it
-   * serves others: what it and its followers counted would be missing from a
-   * usage window that is fixed meanwhile.
+   * Forwards the statuses to any other relay when only this host cannot write to
+   * the store. Without this, a usage window that is fixed meanwhile would miss the
+   * usage counts of this host and its followers.
    */
   async #forwardStatuses(): Promise<void> {
     const { relay, clock, host } = this.#options;
@@ -192,8 +200,8 @@
     }
   }
 
-  /** Asks the other relays for their sums, all at once. */
-  async #askRelays(): Promise<void> {
+  /** Fetches the summaries of all other relays concurrently. */
+  async #fetchSummaries(): Promise<void> {
     const { relay, clock } = this.#options;
     await Promise.all(this.#contacts.map(async (contact) => {
       const summary = await relay.callContact(contact, {
@@ -206,8 +214,9 @@
   }
 
   /**
-   * Sums up what is known of all hosts but one. Hosts of a failure domain that
-   * is out of reach still share what all hosts share, so their number counts on.
+   * Summarizes all hosts but one. Hosts of an unreachable failure domain still use
+   * their share of the retry budget and the connections, so they are counted as
+   * long as their published statuses are current.
    */
   #sumOthers(options: { readonly without: string }): core.HostsSummary {
     const now = this.#options.clock.now();
@@ -232,7 +241,7 @@
     return recent ? core.listCurrentStatuses(this.#published).length : 0;
   }
 
-  /** Publishes; once more at once where the entry or its lease had gone. */
+  /** Publishes the statuses; retries at once if the entry or its lease has expired. */
   async #publish(): Promise<void> {
     const { clock } = this.#options;
     this.#publishedRound = this.#round;
@@ -242,7 +251,7 @@
     if (this.#publishedAt < sentAt) await this.#forwardStatuses();
   }
 
-  /** Tries once; false if another try may succeed at once. */
+  /** Makes one attempt to publish; returns false if an immediate retry may succeed. */
   async #tryPublish(): Promise<boolean> {
     const { store: client, host, incarnation, clock, relay } = this.#options;
     if (this.#lease === undefined) {
@@ -262,8 +271,9 @@
       lease: this.#lease,
     });
     if (swapped.err) return this.#recordFailure(swapped.val);
-    // An earlier write whose answer was lost took effect, or the entry went
-    // with its lease: the next round goes on from what there is.
+    // The swap conflicts if an earlier write took effect although its response was
+    // lost, or if the entry expired with its lease. The retry starts from the
+    // current revision.
     const won = swapped.val.kind === "won";
     this.#revision = swapped.val.kind === "won"
       ? swapped.val.modRevision
@@ -272,19 +282,19 @@
     return won;
   }
 
-  /** Renews the entry's lease while this host publishes; else the entry may go. */
-  async #renew(): Promise<void> {
+  /** Renews the entry's lease while this host publishes; otherwise lets the entry expire. */
+  async #renewLease(): Promise<void> {
     const lease = this.#lease;
     if (lease === undefined) return;
-    if (this.#round - this.#publishedRound > ROUNDS_PER_LOOK) {
-      return this.#drop();
+    if (this.#round - this.#publishedRound > ROUNDS_PER_READ) {
+      return this.#clearLease();
     }
     const renewed = await this.#options.store.renewLease(lease);
-    if (renewed.ok && !renewed.val && this.#lease === lease) this.#drop();
+    if (renewed.ok && !renewed.val && this.#lease === lease) this.#clearLease();
   }
 
-  /** The lease has ended, and the entry with it. */
-  #drop(): void {
+  /** Clears the lease after its end, which also deleted the entry. */
+  #clearLease(): void {
     this.#lease = undefined;
     this.#revision = 0;
   }
@@ -308,18 +318,22 @@
   }
 
   /**
-   * Records a failure; false if it was a lease that had ended. A failure that
-   * lasts shows as a lost store, and one round is made good by the next.
+   * Records a failed call of the store; returns false if the lease had ended. The
+   * log level is low because the next round makes up for one failure, and a
+   * lasting one is logged as an unreachable store.
    */
   #recordFailure(error: utils.StepError): boolean {
-    this.#options.log.debug({ error }, "Round put off.");
+    this.#options.log.debug(
+      { error },
+      "Status round failed; the next round retries.",
+    );
     if (error.code !== "not_found") return true;
-    this.#drop();
+    this.#clearLease();
     return false;
   }
 }
 
-/** Keeps the newest status of each process: a host that changed its relay stands in two entries. */
+/** Keeps the newest status of each process: a host that changed its relay appears in two entries. */
 function keepNewest(statuses: readonly core.HostStatus[]): core.HostStatus[] {
   const newest = new Map<string, core.HostStatus>();
   statuses.forEach((status) => {
--- a/packages/banyangrade/routed/readiness.ts
+++ b/packages/banyangrade/routed/readiness.ts
@@ -1,9 +1,10 @@
-/** The server that the platform's balancer asks whether new connections do well to come. */
+/** The readiness endpoint for the platform's load balancer. */
 import * as http from "node:http";
 import type * as utils from "@banyangrade/utils";
 
 /**
- * Starts the server that the platform's balancer asks for readiness.
+ * Starts the HTTP server of the readiness endpoint. It answers 200 while the
+ * load balancer should send new connections to this host, otherwise 503.
  *
  * @example
  * await startReadiness({ hostname, port, path: "/ready", isReady });
--- a/packages/banyangrade/routed/refusal_answer.ts
+++ b/packages/banyangrade/routed/refusal_answer.ts
@@ -1,8 +1,8 @@
-/** Answers to requests that are given up. */
+/** Responses to refused requests. */
 import type * as core from "@banyangrade/core";
 import type * as ingress from "./ingress.ts";
 
-/** Statuses of refusals that ran nothing, by their code. */
+/** HTTP statuses of refusals after which nothing ran, by refusal code. */
 const STATUS_BY_CODE: Readonly<Partial<Record<core.RefusalCode, number>>> = {
   bad_request: 400,
   not_authenticated: 401,
@@ -11,27 +11,27 @@
   not_found: 404,
   too_large: 413,
 };
-/** Status that promises that nothing ran or ever will. */
+/** Default status of a refusal that guarantees that nothing ran or will run; callers may safely retry. */
 const NOT_RUN_STATUS = 503;
 const FAILED_STATUS = 502;
 const TIMED_OUT_STATUS = 504;
 
 /**
- * Answers a request that is given up. Only a refusal after which nothing ran
- * gets a status that promises so; one with an unknown outcome must not, or its
- * caller would send it again and it might run twice.
+ * Answers a refused request. Only a refusal after which nothing ran gets a status
+ * that says so; with an unknown outcome the caller would retry and the request
+ * might run twice.
  *
  * @example
  * sendRefusal(answer, { refusal, requestId });
  */
 export function sendRefusal(
-  answer: ingress.IngressAnswer,
+  answer: ingress.CallerResponse,
   { refusal, requestId }: {
     readonly refusal: core.Refusal;
     readonly requestId: string | undefined;
   },
 ): void {
-  if (answer.isBegun()) return answer.destroy();
+  if (answer.isStarted()) return answer.destroy();
   const retryAfter = refusal.ran === "no" && refusal.retryAfterMs !== undefined
     ? { "retry-after": (refusal.retryAfterMs / 1_000).toFixed(3) }
     : {};
--- a/packages/banyangrade/routed/relay_task.ts
+++ b/packages/banyangrade/routed/relay_task.ts
@@ -1,54 +1,58 @@
 /**
- * One host of each failure domain, the relay, follows the store for the others,
- * whose calls would grow with the fleet.
+ * Elects a relay: one host of each failure domain that follows the store for the
+ * other hosts there, so that the load on the store does not grow with their
+ * number.
  *
- * The relay is whoever holds a lease. The others find it by the lease's record,
- * and go to the store themselves while there is none that answers, so that a
- * relay that is lost costs calls, not service.
+ * The relay is the host that holds a lease. The other hosts find it by the lease's
+ * record. While no relay answers they follow the store directly, so that the loss
+ * of a relay costs additional calls but does not interrupt the service.
  */
 import * as peer from "@banyangrade/peer";
 import * as store from "@banyangrade/store";
 import * as utils from "@banyangrade/utils";
 
-/** Length of the relay's lease, in ms: the followers go without a relay for about as long after a loss. */
+/** Duration of the relay's lease, in ms; after a relay is lost its followers have no relay for about as long. */
 const LEASE_MS = 3_000;
-/** Margin of the lease for clock drift and scheduling, in ms. */
+/** Safety margin of the lease for clock drift and scheduling delays, in ms. */
 const LEASE_MARGIN_MS = 400;
-/** Longest wait at the start for word of who the relay is, in ms: a slow call of the store. */
-const FIRST_LOOK_MS = 200;
-/** Time over which hosts that start together spread their tries for the lease, in ms: many calls of the store long, and half of what a process takes to start. */
-const TRIES_SPREAD_MS = 300;
-/** Time for which a relay that did not answer is not asked again, in ms: until its lease has ended if it is gone. */
-const AVOID_MS = 2_500;
-/** Time after which a relay does not answer, in ms beyond what it was to wait: hundreds of times the way there. */
-const ANSWER_MS = 300;
+/** Longest wait for the first lookup of the relay at startup, in ms; the duration of a slow store call. */
+const INITIAL_LOOKUP_MS = 200;
+/**
+ * Time over which hosts that start together spread their attempts to acquire the
+ * lease, in ms; many store calls long, and half of the startup time of a process.
+ */
+const LEASE_ATTEMPT_SPREAD_MS = 300;
+/** Time for which a relay that did not answer is not called again, in ms; the lease of a crashed relay ends within it. */
+const RELAY_BACKOFF_MS = 2_500;
+/** Timeout of a call to a relay beyond the wait that the call asks for, in ms; hundreds of times the network latency. */
+const RESPONSE_TIMEOUT_MS = 300;
 
 /** Options of {@link RelayTask}. */
 export interface RelayOptions {
   readonly store: store.KeyValueClient;
-  /** Counts suspensions, so that a lease does not outlast one. */
+  /** Includes the time for which the process was suspended, so that a lease expires meanwhile. */
   readonly clock: utils.Clock;
   readonly log: utils.Logger;
   readonly random: utils.Random;
   readonly host: string;
   readonly incarnation: string;
   readonly failureDomain: string;
-  /** Where this host serves others; undefined if the deployment has no relays. */
+  /** Address at which this host serves followers; undefined if the deployment has no relays. */
   readonly address: string | undefined;
   readonly getHandlers: () => peer.RelayHandlers;
 }
 
 type RelayClients = peer.PeerClients<peer.RelayRouter>;
 
-/** A call of a relay. */
+/** A call to a relay. */
 export interface RelayCall<Answer> {
   readonly step: string;
   readonly run: peer.PeerRun<peer.RelayRouter, Answer>;
-  /** Time for which the relay keeps the call, in ms. @default 0 */
+  /** Time for which the relay may hold the call open, in ms. @default 0 */
   readonly waitMs?: number;
 }
 
-/** Finds the relay, or is it. */
+/** Finds the relay of this failure domain, or acts as the relay. */
 export class RelayTask {
   readonly #options: RelayOptions;
   readonly #secret = utils.createId();
@@ -57,8 +61,8 @@
   #server: peer.PeerServer | undefined;
   #closed = false;
   #relay: store.RoleRecord | undefined;
-  /** Incarnation of a relay that did not answer, and until when it is avoided. */
-  #avoided = { incarnation: "", until: 0 };
+  /** Incarnation of a relay that did not answer, and the time until which it is not called. */
+  #unresponsive = { incarnation: "", until: 0 };
 
   constructor(options: RelayOptions) {
     this.#options = options;
@@ -80,19 +84,20 @@
       host,
       incarnation,
       terms: { ttlMs: LEASE_MS, marginMs: LEASE_MARGIN_MS },
-      getPauseMs: () => random.below(TRIES_SPREAD_MS),
-      // A relay serves whoever asks; two of them do no harm.
+      getPauseMs: () => random.below(LEASE_ATTEMPT_SPREAD_MS),
+      // Two relays at a time are harmless, so no time is reserved for calls in flight.
       flightMs: 0,
       contact: { address, secret: this.#secret },
       isCandidate: () => this.#relay === undefined,
       onOther: (record) => this.#setRelay(record),
       onChange: () => undefined,
     });
-    // A host that starts by itself then has everything from the relay.
-    await Promise.race([this.#holder.looked, utils.waitFor(FIRST_LOOK_MS)]);
+    // A host that finds the relay now reads its initial state from it rather than
+    // from the store.
+    await Promise.race([this.#holder.looked, utils.waitFor(INITIAL_LOOKUP_MS)]);
   }
 
-  /** Gives the lease back; followers are answered until {@link close}. */
+  /** Releases the lease; followers are answered until {@link close}. */
   async stop(): Promise<void> {
     const holder = this.#holder;
     this.#holder = undefined;
@@ -110,7 +115,7 @@
     return this.#holder?.getLease().kind === "held";
   }
 
-  /** How other relays reach this host; undefined if it is none. */
+  /** Returns how other relays reach this host; undefined if it is no relay. */
   getContact(): store.RoleContact | undefined {
     const { address } = this.#options;
     return address === undefined || !this.isRelay()
@@ -118,7 +123,7 @@
       : { address, secret: this.#secret };
   }
 
-  /** Calls the relay; undefined if there is none, or it does not answer. */
+  /** Calls the relay of this failure domain; returns undefined if there is none or it does not answer. */
   async callRelay<Answer>(
     call: RelayCall<Answer>,
   ): Promise<Answer | undefined> {
@@ -126,28 +131,29 @@
     if (relay?.contact === undefined) return undefined;
     const answer = await this.callContact(relay.contact, call);
     if (answer !== undefined) return answer;
-    this.#markSilent(relay);
+    this.#markUnresponsive(relay);
     return undefined;
   }
 
-  /** Calls any relay; undefined if it does not answer. */
+  /** Calls a given relay; returns undefined if it does not answer. */
   async callContact<Answer>(
     contact: store.RoleContact,
     { step, run, waitMs = 0 }: RelayCall<Answer>,
   ): Promise<Answer | undefined> {
-    // A round that ends late would open a connection that nobody closes.
+    // A status round may still run after the close and would open a connection
+    // that is never closed.
     if (this.#closed) return undefined;
     const answer = await this.#getClients(contact).call(
       { address: contact.address, step },
       run,
-      waitMs + ANSWER_MS,
+      waitMs + RESPONSE_TIMEOUT_MS,
     );
     if (answer.ok) return answer.val;
-    this.#options.log.debug({ error: answer.val }, "Relay silent.");
+    this.#options.log.debug({ error: answer.val }, "Relay did not answer.");
     return undefined;
   }
 
-  /** Closes connections that nobody uses. */
+  /** Closes idle connections to relays. */
   closeIdle(): void {
     this.#clients.forEach((clients) => clients.closeIdle());
   }
@@ -164,22 +170,25 @@
   #setRelay(record: store.RoleRecord): void {
     const { clock, log } = this.#options;
     const { host, contact } = record;
-    const avoided = record.incarnation === this.#avoided.incarnation &&
-      clock.now() < this.#avoided.until;
-    // An earlier life of this host may still have the lease.
-    const own = host === this.#options.host;
-    if (contact === undefined || avoided || own) return;
+    const avoided = record.incarnation === this.#unresponsive.incarnation &&
+      clock.now() < this.#unresponsive.until;
+    // An earlier process of this host may still hold the lease.
+    const isOwn = host === this.#options.host;
+    if (contact === undefined || avoided || isOwn) return;
     this.#relay = record;
     log.info({ relay: host }, "Relay found.");
   }
 
-  #markSilent(relay: store.RoleRecord): void {
+  #markUnresponsive(relay: store.RoleRecord): void {
     if (this.#relay !== relay) return;
     this.#relay = undefined;
-    this.#avoided = {
+    this.#unresponsive = {
       incarnation: relay.incarnation,
-      until: this.#options.clock.now() + AVOID_MS,
+      until: this.#options.clock.now() + RELAY_BACKOFF_MS,
     };
-    this.#options.log.warn({ relay: relay.host }, "Relay lost.");
+    this.#options.log.warn(
+      { relay: relay.host },
+      "Relay lost; following the store directly.",
+    );
   }
 }
--- a/packages/banyangrade/routed/relayed_feed.ts
+++ b/packages/banyangrade/routed/relayed_feed.ts
@@ -1,8 +1,9 @@
 /**
- * Follows the store through the relay while that has recent word, else by
- * itself; and keeps a copy of what it read, from which this host answers as a
- * relay. What a relay says counts as of the moment at which the read was sent
- * that proved it, so a chain of relays cannot pass an old belief for a new one.
+ * Follows the store through the relay while the relay's data is fresh, otherwise
+ * directly; and keeps a copy, from which this host answers its followers when it
+ * is the relay. The age of relayed data counts from the moment at which the read
+ * of the store was sent, so that a chain of relays cannot present old data as
+ * new.
  */
 import type * as peer from "@banyangrade/peer";
 import * as store from "@banyangrade/store";
@@ -10,54 +11,57 @@
 import type * as relayTask from "./relay_task.ts";
 
 /**
- * Age of a relay's last word from the store, of any prefix, at which it does not
- * answer for it any more, in ms. While all is well it is at most two polls of
- * the configuration old. A relay that is cut off without notice is found out
- * 1.1 s later, while a change has to be in force after 2 s.
+ * Age of a relay's last response from the store, for any prefix, from which the
+ * relay no longer answers its followers, in ms. While the store is reachable the
+ * age is at most two polls of the configuration. A relay that silently loses the
+ * store is detected 1.1 s later, and a change must be applied within 2 s.
  */
-const FRESH_MS = 1_900;
+const MAX_RELAY_AGE_MS = 1_900;
 /**
- * Time for which the store is not asked again after it failed, in ms. A follower
- * hears of the store's return from its relay, which asks on. Where there is no
- * relay, as one that ends during an outage has no successor before the store is
- * back, the pause is shorter; without it every host of a failure domain asks five
- * times a second.
+ * Time for which the store is not polled again after a failure, in ms, by the
+ * state of the relay. With an unready relay, the relay keeps polling and its
+ * followers learn from it that the store is back. Without a relay the time is
+ * shorter: a relay that stops during an outage has no successor until the store is
+ * back. Without this backoff, every host of a failure domain would poll the store
+ * five times a second.
  */
-const STORE_PAUSE_MS = { unready: 1_500, none: 600 };
+const STORE_BACKOFF_MS = { unready: 1_500, none: 600 };
 
 /** Options of {@link RelayedFeed}. */
 export interface RelayedFeedOptions {
   readonly feed: store.FeedClient;
   readonly relay: Pick<relayTask.RelayTask, "callRelay">;
-  /** Counts suspensions, so that a proof does not outlast one. */
+  /** Includes the time for which the process was suspended, so that data ages meanwhile. */
   readonly clock: utils.Clock;
 }
 
 type Polled = utils.Result<store.Changes, utils.StepError>;
 type PollOptions = Parameters<store.FeedClient["pollChanges"]>[1];
 
-/** What a relay has to say. */
+/** Result of polling the relay. */
 type RelayPoll =
   | { readonly kind: "answered"; readonly polled: Polled }
-  /** It has no recent word itself. */
+  /** The relay's own data is stale. */
   | { readonly kind: "unready" }
-  /** There is no relay, or it does not answer. */
+  /** There is no relay, or the relay does not answer. */
   | { readonly kind: "none" };
 
-/** One prefix: the copy, and who waits for it to change. */
-interface Followed {
+/** The copy of one prefix, and the listeners that wait for it to change. */
+interface WatchedPrefix {
   readonly cache: store.PrefixCache;
-  /** Polls of the store that failed in a row. */
+  /** Number of consecutive polls of the store that failed. */
   failures: number;
-  readonly wakes: Set<() => void>;
+  readonly listeners: Set<() => void>;
 }
 
-/** The store's feed, by way of the relay. */
+/** The store's change feed, read through the relay if possible. */
 export class RelayedFeed implements store.FeedClient {
   readonly #options: RelayedFeedOptions;
-  readonly #followed = new Map<string, Followed>();
-  /** Last failure of the store, unless it has answered since. */
-  #failed: { readonly error: utils.StepError; readonly at: number } | undefined;
+  readonly #prefixes = new Map<string, WatchedPrefix>();
+  /** Last failure of the store; undefined once the store has answered again. */
+  #storeFailure:
+    | { readonly error: utils.StepError; readonly at: number }
+    | undefined;
 
   constructor(options: RelayedFeedOptions) {
     this.#options = options;
@@ -85,62 +89,64 @@
   async pollChanges(prefix: string, options: PollOptions): Promise<Polled> {
     const relayed = await this.#pollRelay(prefix, options);
     if (relayed.kind === "answered") return relayed.polled;
-    const pausing = this.#findPause(prefix, relayed.kind);
-    if (pausing !== undefined) return utils.Err(pausing);
+    const backoffError = this.#findBackoff(prefix, relayed.kind);
+    if (backoffError !== undefined) return utils.Err(backoffError);
     const read = await this.#pollStore(prefix, options);
     this.#recordRead(prefix, read);
     return read;
   }
 
-  /** The failure for which the store is left alone, if it is. */
-  #findPause(
+  /** Returns the failure during whose backoff the store must not be polled; undefined if it may be. */
+  #findBackoff(
     prefix: string,
     relay: "unready" | "none",
   ): utils.StepError | undefined {
-    const failed = this.#failed;
+    const failed = this.#storeFailure;
     const { clock } = this.#options;
     if (failed === undefined) return undefined;
-    if (clock.now() - failed.at >= STORE_PAUSE_MS[relay]) return undefined;
-    // One poll that is cut is no outage.
-    const isOutage = relay === "unready" || this.#get(prefix).failures > 1;
+    if (clock.now() - failed.at >= STORE_BACKOFF_MS[relay]) return undefined;
+    // A single interrupted poll is not taken for an outage.
+    const isOutage = relay === "unready" ||
+      this.#getPrefix(prefix).failures > 1;
     return isOutage ? failed.error : undefined;
   }
 
   #recordRead(prefix: string, read: Polled): void {
-    const followed = this.#get(prefix);
-    // A store that no longer has the history answers well.
+    const followed = this.#getPrefix(prefix);
+    // "not_found" means that the store has compacted its history; it is reachable.
     const error = read.err && read.val.code !== "not_found"
       ? read.val
       : undefined;
     followed.failures = error === undefined ? 0 : followed.failures + 1;
-    this.#failed = error && { error, at: this.#options.clock.now() };
+    this.#storeFailure = error && { error, at: this.#options.clock.now() };
   }
 
-  /** Answers a follower's call with the whole prefix. */
+  /** Answers a follower's call with a snapshot of the whole prefix. */
   answerReadAll(prefix: string): peer.RelayedSnapshot {
-    const { cache } = this.#get(prefix);
+    const { cache } = this.#getPrefix(prefix);
     const ageMs = this.#options.clock.now() - cache.provedAt;
     if (!Number.isFinite(ageMs) || !this.#isFresh()) return { kind: "unready" };
     return { kind: "snapshot", ...cache.read(), ageMs };
   }
 
-  /** Answers a follower's call as soon as there is a change, or at the end of its wait. */
+  /** Answers a follower's long poll as soon as there is a change, or at the end of its wait. */
   async answerPoll(
     { prefix, after, waitMs }: peer.PollMessage,
   ): Promise<peer.RelayedChanges> {
     const receivedAt = this.#options.clock.now();
-    const { cache } = this.#get(prefix);
+    const { cache } = this.#getPrefix(prefix);
     const mayAnswer = () => Number.isFinite(cache.provedAt) && this.#isFresh();
-    const hasNews = () => (cache.listSince(after)?.changes.length ?? 1) > 0;
+    const hasChanges = () => (cache.listSince(after)?.changes.length ?? 1) > 0;
     await this.#waitUntil(prefix, {
-      holds: () => !mayAnswer() || hasNews(),
+      isMet: () => !mayAnswer() || hasChanges(),
       waitMs,
     });
     if (!mayAnswer()) return { kind: "unready" };
     const changes = cache.listSince(after);
     if (changes === undefined) return { kind: "gone" };
-    // By the arrival of the call, which the follower sent before: its own
-    // reckoning from then cannot make the proof newer than it is.
+    // The age is taken at the arrival of the call. The follower subtracts it from
+    // the time at which it sent the call, which is earlier, so the data never
+    // appears newer than it is.
     return {
       kind: "changes",
       ...changes,
@@ -165,7 +171,7 @@
       case "unready":
         return { kind: "unready" };
       case "gone":
-        return { kind: "answered", polled: utils.Err(buildGone()) };
+        return { kind: "answered", polled: utils.Err(buildHistoryError()) };
       case "changes":
         this.#apply(prefix, { changes: relayed, sentAt });
         return { kind: "answered", polled: utils.Ok(relayed) };
@@ -179,17 +185,17 @@
     return polled;
   }
 
-  /** Whether this host has recent word from the store, of any prefix. */
+  /** Whether the last response from the store, for any prefix, is recent. */
   #isFresh(): boolean {
-    return this.#getFreshMs() >= 0;
+    return this.#getRemainingFreshMs() >= 0;
   }
 
-  /** Time for which its last word stays recent, in ms. */
-  #getFreshMs(): number {
+  /** Returns the time for which that response remains recent, in ms; negative if it is not. */
+  #getRemainingFreshMs(): number {
     const provedAt = Math.max(
-      ...[...this.#followed.values()].map(({ cache }) => cache.provedAt),
+      ...[...this.#prefixes.values()].map(({ cache }) => cache.provedAt),
     );
-    return provedAt + FRESH_MS - this.#options.clock.now();
+    return provedAt + MAX_RELAY_AGE_MS - this.#options.clock.now();
   }
 
   #setAll(
@@ -199,9 +205,9 @@
       readonly sentAt: number;
     },
   ): void {
-    const { cache, wakes } = this.#get(prefix);
+    const { cache, listeners } = this.#getPrefix(prefix);
     cache.setAll(snapshot, sentAt - (snapshot.ageMs ?? 0));
-    wakes.forEach((wake) => wake());
+    listeners.forEach((wake) => wake());
   }
 
   #apply(
@@ -211,61 +217,65 @@
       readonly sentAt: number;
     },
   ): void {
-    const { cache, wakes } = this.#get(prefix);
-    // Before its first full read it has nothing to which changes could apply.
+    const { cache, listeners } = this.#getPrefix(prefix);
+    // Changes apply only to a copy that has been read in full once.
     if (!Number.isFinite(cache.provedAt)) return;
     cache.apply(changes, sentAt - (changes.ageMs ?? 0));
-    if (changes.changes.length > 0) wakes.forEach((wake) => wake());
+    if (changes.changes.length > 0) listeners.forEach((wake) => wake());
   }
 
-  #get(prefix: string): Followed {
-    const known = this.#followed.get(prefix);
+  #getPrefix(prefix: string): WatchedPrefix {
+    const known = this.#prefixes.get(prefix);
     if (known !== undefined) return known;
     const followed = {
       cache: new store.PrefixCache(),
       failures: 0,
-      wakes: new Set<() => void>(),
+      listeners: new Set<() => void>(),
     };
-    this.#followed.set(prefix, followed);
+    this.#prefixes.set(prefix, followed);
     return followed;
   }
 
-  /** Waits until something holds, which a change or the age of the last word can bring. */
+  /** Waits until a condition is met that depends on changes and on the age of the last response from the store. */
   async #waitUntil(
     prefix: string,
-    { holds, waitMs }: {
-      readonly holds: () => boolean;
+    { isMet, waitMs }: {
+      readonly isMet: () => boolean;
       readonly waitMs: number;
     },
   ): Promise<void> {
-    if (holds()) return;
-    const { wakes } = this.#get(prefix);
+    if (isMet()) return;
+    const { listeners } = this.#getPrefix(prefix);
     await new Promise<void>((resolve) => {
       const end = () => {
         clearTimeout(timer);
-        clearTimeout(looking);
-        wakes.delete(wake);
+        clearTimeout(recheckTimer);
+        listeners.delete(wake);
         resolve();
       };
       const wake = () => {
-        if (holds()) end();
+        if (isMet()) end();
       };
-      const look = () => {
-        if (holds()) return end();
-        looking = setTimeout(look, Math.max(0, this.#getFreshMs()) + 1);
+      const recheck = () => {
+        if (isMet()) return end();
+        recheckTimer = setTimeout(
+          recheck,
+          Math.max(0, this.#getRemainingFreshMs()) + 1,
+        );
       };
       const timer = setTimeout(end, waitMs);
-      let looking: NodeJS.Timeout;
-      look();
-      wakes.add(wake);
+      let recheckTimer: NodeJS.Timeout;
+      recheck();
+      listeners.add(wake);
     });
   }
 }
 
-function buildGone(): utils.StepError {
+function buildHistoryError(): utils.StepError {
   return utils.createStepError("not_found", {
     step: "relay.pollChanges",
     peer: "relay",
-    message: "The relay no longer knows what has changed since.",
+    message:
+      "The relay's change history no longer reaches back to the given revision; read the prefix in full.",
   });
 }
--- a/packages/banyangrade/routed/roles_task.ts
+++ b/packages/banyangrade/routed/roles_task.ts
@@ -1,4 +1,7 @@
-/** The control roles, usage windows and orders: one host at a time holds both, by one lease. */
+/**
+ * Runs the control roles: reporting usage windows and ordering backend servers.
+ * One host at a time holds both roles, under a single lease.
+ */
 import * as core from "@banyangrade/core";
 import * as store from "@banyangrade/store";
 import * as usage from "@banyangrade/usage";
@@ -6,64 +9,64 @@
 import * as ordersRound from "./orders_round.ts";
 import type * as ports from "./ports.ts";
 
-/** Margin of a lease for clock drift and scheduling, in ms. */
+/** Safety margin of the lease for clock drift and scheduling delays, in ms. */
 const LEASE_MARGIN_MS = 400;
-/** Between two looks of any host whether the lease is free, in ms; with more hosts each one looks more seldom. */
-const TRY_MS = 300;
-/** Rounds of the lease task within the lease's length. */
+/** Interval at which some candidate checks whether the lease is free, in ms; with more candidates each one checks less often. */
+const LEASE_ATTEMPT_MS = 300;
+/** Rounds of the lease holder per duration of the lease. */
 const ROUNDS_PER_LEASE = 4;
-/** Role under which the lease lies in the store. */
+/** Name of the lease in the store. */
 const ROLE = "platform";
-/** Between two rounds of reports, in ms. */
+/** Interval between usage reports, in ms. */
 const REPORT_MS = 1_000;
-/** Between two rounds of orders, in ms. */
+/** Interval between rounds of orders, in ms. */
 const ORDERS_MS = 1_000;
-/** Least time after a window's end for the hosts' counts to arrive, in ms: a publication and a request that was just begun. */
-const COUNTS_MS = 1_500;
-/** Part of the time until a report is due after which a window is fixed without the counts of a few hosts that are out of reach. */
+/** Shortest time after a window's end before it is fixed, in ms; covers a publication of the hosts' counts and a request that has just begun. */
+const COUNTS_ARRIVAL_MS = 1_500;
+/** Share of the time until a report is due after which a window is fixed without the counts of a few unreachable hosts. */
 const PARTIAL_SHARE = 0.5;
-/** Time before a report is due at which a window is fixed in any case, in ms: a round and the calls. */
+/** Time before a report is due at which a window is fixed in any case, in ms; covers a round and its calls. */
 const FIX_MARGIN_MS = 1_500;
-/** Age up to which the hosts' statuses count as read, in ms: two rounds. */
+/** Age up to which the hosts' statuses may be used, in ms; two rounds. */
 const STATUSES_VALID_MS = 2_500;
-/** All usage windows are one subject. */
+/** Name under which windows are reported for all failure domains together. */
 const ALL_DOMAINS = "all";
 
 /** Options of {@link RolesTask}. */
 export interface RolesOptions {
   readonly settings: ports.RoutedSettings;
   readonly platform: ports.Platform;
-  /** Counts suspensions, so that a lease does not outlast one. */
+  /** Includes the time for which the process was suspended, so that a lease expires meanwhile. */
   readonly clock: utils.Clock;
   readonly log: utils.Logger;
   readonly incarnation: string;
   readonly getTrueTime: () => number;
   readonly getConfiguration: () => core.RoutingConfiguration | undefined;
   readonly listServers: () => readonly core.ListedServer[];
-  /** Whether operators have a failure domain emptied. */
+  /** Whether a failure domain is being evacuated by the operators. */
   readonly isEvacuated: (failureDomain: string) => boolean;
-  /** The published statuses of all hosts. */
+  /** Returns the published statuses of all hosts. */
   readonly listStatuses: () => readonly core.HostStatus[];
-  /** Monotonic time at which they were read. */
+  /** Returns the monotonic time at which these statuses were read. */
   readonly getStatusesAt: () => number;
-  /** Hosts that try for the roles. */
+  /** Counts the hosts that are candidates for the roles. */
   readonly countCandidates: () => number;
-  /** Whether this host is one of them. */
+  /** Whether this host is a candidate for the roles. */
   readonly isCandidate: () => boolean;
 }
 
-/** Tries for the roles and does their work. */
+/** Acquires the control roles and does their work. */
 export class RolesTask {
   readonly #options: RolesOptions;
   readonly #collector = new core.WindowCollector();
-  readonly #orders: ordersRound.OrdersRound;
+  readonly #orders: ordersRound.ScalingOrders;
   #holder: store.LeaseHolder | undefined;
   #round = 0;
   #stops: (() => void)[] = [];
 
   constructor(options: RolesOptions) {
     this.#options = options;
-    this.#orders = new ordersRound.OrdersRound({
+    this.#orders = new ordersRound.ScalingOrders({
       ...options,
       getLease: () => this.#getLease(),
     });
@@ -73,12 +76,12 @@
     if (this.#options.settings.roles.length === 0) return;
     this.#holder = this.#startHolder();
     this.#stops = [
-      utils.startInterval(REPORT_MS, () => this.#report()),
-      utils.startInterval(ORDERS_MS, () => this.#order()),
+      utils.startInterval(REPORT_MS, () => this.#reportUsage()),
+      utils.startInterval(ORDERS_MS, () => this.#sendOrders()),
     ];
   }
 
-  /** Gives the roles back. */
+  /** Releases the roles. */
   async stop(): Promise<void> {
     this.#stops.splice(0).forEach((stop) => stop());
     const holder = this.#holder;
@@ -101,7 +104,8 @@
       host: settings.host,
       incarnation,
       terms: { ttlMs: settings.leaseMs, marginMs: LEASE_MARGIN_MS },
-      // Every call bears the fencing token, and the platform refuses old ones.
+      // Every call carries the fencing token and the platform rejects old tokens, so
+      // no time is reserved for calls in flight.
       flightMs: 0,
       isCandidate: () => {
         this.#round += 1;
@@ -110,14 +114,14 @@
       },
       onChange: () => {
         this.#orders.forgetSent();
-        this.#order();
+        this.#sendOrders();
       },
     });
   }
 
   #countRoundsPerTry(): number {
     const roundMs = this.#options.settings.leaseMs / ROUNDS_PER_LEASE;
-    const tries = this.#options.countCandidates() * TRY_MS / roundMs;
+    const tries = this.#options.countCandidates() * LEASE_ATTEMPT_MS / roundMs;
     return Math.max(1, Math.round(tries));
   }
 
@@ -125,19 +129,19 @@
     return this.#holder?.getLease() ?? { kind: "none" };
   }
 
-  /** Whether this host does the work of a role now. */
-  #isInCharge(role: ports.ControlRole): boolean {
+  /** Whether this host holds the roles and the deployment has the given one. */
+  #hasControlRole(role: ports.ControlRole): boolean {
     return this.hasRole() && this.#options.settings.roles.includes(role);
   }
 
-  async #report(): Promise<void> {
-    if (!this.#isInCharge("usage")) return;
+  async #reportUsage(): Promise<void> {
+    if (!this.#hasControlRole("usage")) return;
     const { platform, clock, log } = this.#options;
-    // A host that has just won the role has not read the others' counts yet.
+    // A host that has just acquired the roles has not read the other hosts' counts.
     const age = clock.now() - this.#options.getStatusesAt();
     if (age > STATUSES_VALID_MS) return;
     this.#collector.setTables(
-      this.#options.listStatuses().map((word) => word.usage),
+      this.#options.listStatuses().map((status) => status.usage),
     );
     const round = await usage.reportWindows({
       store: platform.store,
@@ -153,14 +157,17 @@
     });
     if (round.fixed + round.reported > 0) {
       const { fixed, reported } = round;
-      log.info({ fixed, reported }, "Windows reported.");
+      log.info({ fixed, reported }, "Usage windows reported.");
     }
     if (round.error !== undefined) {
-      log.warn({ error: round.error }, "Window report put off.");
+      log.warn(
+        { error: round.error },
+        "Usage report failed; the next round retries.",
+      );
     }
   }
 
-  /** Counts a window from the statuses of all hosts, and says which. */
+  /** Counts a window from the statuses of all hosts, and logs the hosts whose status is older than its end. */
   #countWindow(window: number, failureDomain: string): core.FixedWindow {
     const fixed = this.#collector.buildWindow(window, failureDomain);
     const { listStatuses, log, getTrueTime, settings } = this.#options;
@@ -173,31 +180,31 @@
       sinceEndMs: Math.round(getTrueTime() - end),
       hosts: statuses.length,
       behind: statuses.filter(({ at }) => at < end).map(({ host }) => host),
-    }, "Window counted.");
+    }, "Usage window counted.");
     return fixed;
   }
 
-  /** Finds the newest window that can be fixed. */
+  /** Finds the latest window that can be fixed. */
   #findLastClosed(): number {
     const { settings, getTrueTime, listStatuses } = this.#options;
     return core.findLastWindow({
       now: getTrueTime(),
       publishedAt: core.listCurrentStatuses(listStatuses()).map(({ at }) => at),
       windowMs: settings.usageWindowMs,
-      countsMs: COUNTS_MS,
+      countsMs: COUNTS_ARRIVAL_MS,
       partialMs: PARTIAL_SHARE * settings.usageDueMs,
       latestMs: settings.usageDueMs - FIX_MARGIN_MS,
     });
   }
 
-  /** How engines are divided; undefined while this host does not decide it. */
+  /** Returns how engines are divided between short and long prompts; undefined while this host does not hold the roles. */
   getDivisions(): core.DecidedDivisions | undefined {
     return this.hasRole() ? this.#orders.getDivisions() : undefined;
   }
 
-  #order(): void {
+  #sendOrders(): void {
     if (!this.hasRole()) return;
-    this.#orders.divide();
-    if (this.#isInCharge("orders")) this.#orders.send();
+    this.#orders.divideEngines();
+    if (this.#hasControlRole("orders")) this.#orders.send();
   }
 }
--- a/packages/banyangrade/routed/routed_exchange.ts
+++ b/packages/banyangrade/routed/routed_exchange.ts
@@ -1,4 +1,4 @@
-/** One request from its arrival to its answer, over all attempts. */
+/** Runs one request from its arrival to its response, over all attempts. */
 import * as core from "@banyangrade/core";
 import * as service from "@banyangrade/service";
 import type * as utils from "@banyangrade/utils";
@@ -11,7 +11,7 @@
 import * as refusalAnswer from "./refusal_answer.ts";
 import type * as serverPools from "./server_pools.ts";
 
-/** What an exchange needs of its host. */
+/** Services of the host that an exchange uses. */
 export interface ExchangeContext {
   readonly clock: utils.Clock;
   readonly log: utils.Logger;
@@ -19,16 +19,16 @@
   readonly metrics: metrics.Metrics;
   readonly pools: serverPools.ServerPools;
   readonly wire: ports.WireFormat;
-  /** Whether a key that was known at the arrival may still start something. */
+  /** Checks whether an API key that was valid on arrival may still start an attempt. */
   readonly checkKey: (key: string, customer: string) => KeyCheck;
-  /** Counts a request that a server began to run, for its usage window. */
+  /** Counts a request that a server began to run in the usage window of that time. */
   readonly countUsage: (customer: string, at: number) => void;
 }
 
-/** What is known of a key at the moment of sending. */
-export type KeyCheck = "valid" | "withdrawn" | "unproved";
+/** State of an API key when an attempt starts; "unverified" if the host's data is stale. */
+export type KeyCheck = "valid" | "withdrawn" | "unverified";
 
-/** What an exchange is made of. */
+/** Options of {@link openExchange}. */
 export interface ExchangeOptions {
   readonly incoming: ingress.IncomingRequest;
   readonly head: ports.RequestHead & { readonly requestId: string };
@@ -36,20 +36,21 @@
   readonly request: core.Request;
   readonly table: core.RouteTable;
   readonly route: core.Route;
-  /** Whether it needs no key. */
+  /** Whether the request needs no API key. */
   readonly open: boolean;
-  /** Moment at which nobody waits any more, monotonic ms. */
-  readonly endsAt: number;
+  /** Deadline of the caller, monotonic ms. */
+  readonly deadlineAt: number;
 }
 
 type StartEffect = Extract<core.DispatchEffect, { kind: "start" }>;
-type Failed = Extract<service.ForwardOutcome, { kind: "failed" }>;
+type FailedOutcome = Extract<service.ForwardOutcome, { kind: "failed" }>;
 
-/** Shortest time to come back that a refusal gives, in ms: some turns of the shortest calls. */
-export const LEAST_RETRY_MS = 50;
+/** Shortest retry delay that a refusal gives, in ms; several times the duration of the shortest calls. */
+export const MIN_RETRY_MS = 50;
 
 /**
- * Opens a request at the dispatcher and sees it to its end.
+ * Opens a request at the dispatcher and runs it until it is answered, refused
+ * or cancelled.
  *
  * @example
  * openExchange(context, options);
@@ -64,52 +65,53 @@
 class Exchange {
   readonly #context: ExchangeContext;
   readonly #options: ExchangeOptions;
-  readonly #record: exchangeRecord.ExchangeRecord;
-  #abort = new AbortController();
+  readonly #telemetry: exchangeRecord.ExchangeTelemetry;
+  #attemptAbort = new AbortController();
   #timer: NodeJS.Timeout | undefined;
   #ended = false;
   /** Whether any attempt may have run. */
   #ran: core.Ran = "no";
   #lastEventId: number;
-  /** A server's own whole failure, passed on if nothing else is tried. */
-  #failedAnswer: service.ForwardedAnswer | undefined;
+  /** Last complete error response of a backend server; forwarded if no further attempt follows. */
+  #errorResponse: service.ForwardedAnswer | undefined;
 
   constructor(context: ExchangeContext, options: ExchangeOptions) {
     this.#context = context;
     this.#options = options;
-    this.#record = new exchangeRecord.ExchangeRecord(context, options);
+    this.#telemetry = new exchangeRecord.ExchangeTelemetry(context, options);
     this.#lastEventId = options.head.lastEventId;
   }
 
   open(): void {
     const { clock, dispatch } = this.#context;
-    const { incoming, request, endsAt } = this.#options;
-    incoming.onGone(() => this.#cancel());
-    const left = Math.max(0, endsAt - clock.now());
-    this.#timer = setTimeout(() => this.#expire(), left);
+    const { incoming, request, deadlineAt } = this.#options;
+    incoming.onDisconnect(() => this.#cancel());
+    const remainingMs = Math.max(0, deadlineAt - clock.now());
+    this.#timer = setTimeout(() => this.#expire(), remainingMs);
     dispatch.open(request, {
       onStart: (effect) => void this.#runAttempt(effect),
-      onStop: () => this.#abort.abort(),
+      onStop: () => this.#attemptAbort.abort(),
       onRefuse: (refusal) =>
         this.#answerRefusal({ ...refusal, ran: this.#ran }),
     });
   }
 
   async #runAttempt(effect: StartEffect): Promise<void> {
-    // What waited, or is tried again, is judged by the keys of this moment.
+    // The key may have been withdrawn while the request was queued or an earlier
+    // attempt ran.
     const key = this.#checkKey();
     if (key !== "valid") return this.#refuseKey(key);
-    const { signal } = this.#abort = new AbortController();
-    const before = this.#ran;
-    this.#ran = core.mergeRan(before, "unknown");
-    const resumed = this.#record.getEvents() > 0;
-    this.#record.recordStart(effect, {
+    const { signal } = this.#attemptAbort = new AbortController();
+    const ranBefore = this.#ran;
+    this.#ran = core.mergeRan(ranBefore, "unknown");
+    const resumed = this.#telemetry.getEvents() > 0;
+    this.#telemetry.recordAttemptStart(effect, {
       resumeAfter: resumed ? this.#lastEventId : undefined,
     });
     const sentAt = this.#context.clock.now();
     const outcome = await this.#forward(effect, { signal, now: sentAt });
-    if (signal.aborted) return this.#record.recordStopped(effect);
-    this.#endAttempt(effect, { outcome, before, sentAt });
+    if (signal.aborted) return this.#telemetry.recordAttemptStopped(effect);
+    this.#endAttempt(effect, { outcome, ranBefore, sentAt });
   }
 
   #checkKey(): KeyCheck {
@@ -127,9 +129,9 @@
     const connectionLimit =
       table.configuration.services.find((one) => one.name === request.target)
         ?.connectionLimit ?? 1;
-    let begun = false;
+    let started = false;
     return service.forwardRequest({
-      ...attemptMessage.buildAttempt({
+      ...attemptMessage.buildAttemptRequest({
         ...effect,
         exchange: this.#options,
         wire,
@@ -141,35 +143,35 @@
     }, {
       onEvents: async (batch) => {
         if (signal.aborted || this.#ended) return;
-        // A stream counts from the first event of each run.
-        if (!begun) countUsage(request.customer, this.#context.clock.now());
-        begun = true;
-        await this.#passOn(effect, batch);
+        // A stream is counted once per attempt, on its first event.
+        if (!started) countUsage(request.customer, this.#context.clock.now());
+        started = true;
+        await this.#forwardEvents(effect, batch);
       },
     });
   }
 
-  async #passOn(
+  async #forwardEvents(
     effect: StartEffect,
     batch: service.EventBatch,
   ): Promise<void> {
     const { incoming, request } = this.#options;
-    this.#record.recordEvents(batch.count);
+    this.#telemetry.recordEvents(batch.count);
     this.#lastEventId = batch.lastEventId;
     this.#context.dispatch.send({
       kind: "progressed",
       requestId: request.id,
       attempt: effect.attempt,
-      tokens: this.#record.getEvents() - effect.offset,
+      tokens: this.#telemetry.getEvents() - effect.offset,
     });
     await incoming.answer.write(batch.head, batch.bytes);
   }
 
   #endAttempt(
     effect: StartEffect,
-    { outcome, before, sentAt }: {
+    { outcome, ranBefore, sentAt }: {
       readonly outcome: service.ForwardOutcome;
-      readonly before: core.Ran;
+      readonly ranBefore: core.Ran;
       readonly sentAt: number;
     },
   ): void {
@@ -178,35 +180,35 @@
       case "aborted":
         return;
       case "streamed":
-        // A stream that is resumed behind its last event brings none, and its
-        // head has not been sent with one.
-        if (incoming.answer.isBegun()) incoming.answer.end();
+        // A stream that is resumed after its last event brings no events, so its
+        // headers have not been sent yet.
+        if (incoming.answer.isStarted()) incoming.answer.end();
         else incoming.answer.send({ ...outcome.head, body: "" });
         return this.#finish(effect, outcome.events);
       case "whole":
         this.#context.countUsage(request.customer, sentAt);
-        this.#record.recordEvents(0);
+        this.#telemetry.recordEvents(0);
         incoming.answer.send(outcome.answer);
         return this.#finish(effect, 0);
       case "failed":
-        this.#ran = core.mergeRan(before, core.resolveRan(outcome.failure));
+        this.#ran = core.mergeRan(ranBefore, core.resolveRan(outcome.failure));
         if (outcome.answer !== undefined) {
-          this.#failedAnswer = outcome.answer;
+          this.#errorResponse = outcome.answer;
           this.#context.countUsage(request.customer, sentAt);
         }
         return this.#reportFailure(effect, outcome);
     }
   }
 
-  #reportFailure(effect: StartEffect, failed: Failed): void {
+  #reportFailure(effect: StartEffect, failed: FailedOutcome): void {
     const { request, route } = this.#options;
-    this.#record.recordFailure(effect, failed);
+    this.#telemetry.recordAttemptFailure(effect, failed);
     this.#context.dispatch.send({
       kind: "failed",
       requestId: request.id,
       attempt: effect.attempt,
       failure: failed.failure,
-      answerStarted: this.#record.getEvents() > 0,
+      answerStarted: this.#telemetry.getEvents() > 0,
       resumable: route.kind === "stream" && route.resumable,
     });
   }
@@ -218,10 +220,10 @@
     const tokens = offset + events;
     dispatch.send({ kind: "finished", requestId, attempt, tokens });
     dispatch.close(requestId);
-    this.#record.recordAnswered();
+    this.#telemetry.recordAnswered();
   }
 
-  /** Answers at the end of the caller's time. */
+  /** Refuses the request at its deadline. */
   #expire(): void {
     if (this.#ended) return;
     this.#cancelAttempt();
@@ -229,15 +231,15 @@
       code: "deadline_exceeded",
       ran: this.#ran,
       step: "exchange.expire",
-      peer: this.#record.getServer(),
+      peer: this.#telemetry.getServer(),
     }));
   }
 
-  /** The caller is gone. */
+  /** Cancels the request after the caller disconnected. */
   #cancel(): void {
     if (!this.#close()) return;
     this.#cancelAttempt();
-    this.#record.recordLeft(this.#context.dispatch.getLoopDelay());
+    this.#telemetry.recordCallerLeft(this.#context.dispatch.getLoopDelay());
   }
 
   #cancelAttempt(): void {
@@ -245,21 +247,21 @@
     const requestId = this.#options.request.id;
     dispatch.send({ kind: "cancelled", requestId });
     dispatch.close(requestId);
-    this.#abort.abort();
+    this.#attemptAbort.abort();
   }
 
-  /** A key that was withdrawn, or may have been, starts nothing. */
+  /** Refuses a request whose key was withdrawn, or may have been while the store was unreachable. */
   #refuseKey(key: Exclude<KeyCheck, "valid">): void {
     this.#cancelAttempt();
     const code = key === "withdrawn" ? "key_withdrawn" : "store_unavailable";
-    const comesBack = this.#ran === "no" && key === "unproved";
+    const isRetryable = this.#ran === "no" && key === "unverified";
     this.#answerRefusal(core.buildRefusal({
       code,
       ran: this.#ran,
       step: "exchange.start",
       peer: "store",
-      waitMs: comesBack ? LEAST_RETRY_MS : undefined,
-      leastRetryMs: LEAST_RETRY_MS,
+      waitMs: isRetryable ? MIN_RETRY_MS : undefined,
+      leastRetryMs: MIN_RETRY_MS,
     }));
   }
 
@@ -267,16 +269,19 @@
     if (!this.#close()) return;
     const { answer } = this.#options.incoming;
     const { requestId } = this.#options.head;
-    // The server's own word goes before ours.
-    const failed = refusal.code === "backend_failed" && !answer.isBegun()
-      ? this.#failedAnswer
-      : undefined;
-    this.#record.recordRefused(refusal, { passedOn: failed?.status });
-    if (failed !== undefined) return answer.send(failed);
+    // The backend server's own error response takes precedence over a refusal.
+    const errorResponse =
+      refusal.code === "backend_failed" && !answer.isStarted()
+        ? this.#errorResponse
+        : undefined;
+    this.#telemetry.recordRefused(refusal, {
+      forwardedStatus: errorResponse?.status,
+    });
+    if (errorResponse !== undefined) return answer.send(errorResponse);
     refusalAnswer.sendRefusal(answer, { refusal, requestId });
   }
 
-  /** Ends the exchange; false if it had ended before. */
+  /** Ends the exchange; returns false if it had already ended. */
   #close(): boolean {
     if (this.#ended) return false;
     this.#ended = true;
--- a/packages/banyangrade/routed/routed_front.ts
+++ b/packages/banyangrade/routed/routed_front.ts
@@ -1,4 +1,7 @@
-/** From a caller's HTTP request to an open request: route, key, customer, service. */
+/**
+ * Admits callers' HTTP requests: checks the route, the API key and the limits,
+ * picks a service and opens an exchange for the request.
+ */
 import * as core from "@banyangrade/core";
 import * as utils from "@banyangrade/utils";
 import type * as beliefTask from "./belief_task.ts";
@@ -7,28 +10,28 @@
 import * as refusalAnswer from "./refusal_answer.ts";
 import * as routedExchange from "./routed_exchange.ts";
 
-/** When to come back to a host that has no word from the store, in ms: another host is likely to have it. */
-const UNPROVED_RETRY_MS = 100;
-/** When to come back to a host that is stopping, in ms: on a new connection, which leads elsewhere. */
-const CLOSED_RETRY_MS = 50;
-/** Part of the caller's time for which a request may wait for a server. */
+/** Retry delay given by a host whose data from the store is stale, in ms; short, as another host is likely to be up to date. */
+const STALE_STORE_RETRY_MS = 100;
+/** Retry delay given by a host that is draining, in ms; short, as the retry uses a new connection, which leads to another host. */
+const DRAINING_RETRY_MS = 50;
+/** Share of the caller's timeout that a request may spend in the queue. */
 const QUEUE_SHARE = 0.4;
 
-/** Options of {@link RoutedFront}. */
-export interface RoutedFrontOptions extends routedExchange.ExchangeContext {
-  readonly belief: beliefTask.BeliefTask;
-  /** Whether nothing more is taken; see the drain of the host. */
+/** Options of {@link RequestHandler}. */
+export interface RequestHandlerOptions extends routedExchange.ExchangeContext {
+  readonly belief: beliefTask.ClusterStateTask;
+  /** Whether the host is draining and no longer accepts requests. */
   readonly isClosed: () => boolean;
   readonly random: utils.Random;
   /** Region of each failure domain. */
   readonly regions: ReadonlyMap<string, string>;
 }
 
-/** Delay of the event loop from which callers may have left before they are read, in ms: less than any caller's patience. */
-const LATE_MS = 100;
+/** Event loop delay from which a caller may have disconnected before its request is read, in ms; below the timeout of any caller. */
+const LATE_LOOP_MS = 100;
 
-/** A request that may be served. */
-interface Admitted {
+/** A request that passed admission. */
+interface AdmittedRequest {
   readonly incoming: ingress.IncomingRequest;
   readonly arrivedAt: number;
   readonly head: ports.RequestHead & { readonly requestId: string };
@@ -37,28 +40,28 @@
   readonly grant: core.RoutedGrant | undefined;
 }
 
-/** Turns callers' requests into work. */
-export class RoutedFront {
-  readonly #options: RoutedFrontOptions;
+/** Handles callers' requests. */
+export class RequestHandler {
+  readonly #options: RequestHandlerOptions;
 
-  constructor(options: RoutedFrontOptions) {
+  constructor(options: RequestHandlerOptions) {
     this.#options = options;
   }
 
-  /** Handles one request. */
+  /** Admits a request and opens an exchange for it, or refuses it. */
   handle(incoming: ingress.IncomingRequest): void {
     const head = this.#options.wire.readRequest(incoming.headers);
     const admitted = this.#admit(incoming, head);
     if (admitted.err) {
       return this.#refuse(incoming, { head, refusal: admitted.val });
     }
-    void this.#open(admitted.val);
+    void this.#readAndOpen(admitted.val);
   }
 
   #admit(
     incoming: ingress.IncomingRequest,
     head: ports.RequestHead,
-  ): utils.Result<Admitted, core.Refusal> {
+  ): utils.Result<AdmittedRequest, core.Refusal> {
     const { belief, clock } = this.#options;
     const { requestId } = head;
     if (this.#options.isClosed()) {
@@ -66,34 +69,34 @@
         code: "draining",
         ran: "no",
         step: "caller.admit",
-        waitMs: CLOSED_RETRY_MS,
-        leastRetryMs: CLOSED_RETRY_MS,
+        waitMs: DRAINING_RETRY_MS,
+        leastRetryMs: DRAINING_RETRY_MS,
       }));
     }
     const table = belief.getTable();
-    if (table === undefined) return utils.Err(buildUnproved("configuration"));
+    if (table === undefined) return utils.Err(refuseStale("configuration"));
     if (requestId === undefined) {
-      return utils.Err(buildFrontRefusal("bad_request", {
-        message: "The request has no identifier.",
+      return utils.Err(buildAdmissionRefusal("bad_request", {
+        message: "The request has no identifier; send one with each request.",
       }));
     }
     const { host, path } = incoming;
     const route = core.findRoute(table, { host, path });
-    // What this host does not know another one may; only who has recent word
-    // may say that there is no such route or key.
+    // Another host may already know a route or key that is missing here, so only
+    // a host with fresh data answers that it does not exist.
     if (route === undefined) {
       return utils.Err(
-        belief.isProved()
-          ? buildFrontRefusal("not_found")
-          : buildUnproved("routes"),
+        belief.isFresh()
+          ? buildAdmissionRefusal("not_found")
+          : refuseStale("routes"),
       );
     }
     const grant = table.byKey.get(head.key ?? "");
-    const open = route.anonymous ||
+    const keyless = route.anonymous ||
       table.configuration.customers === undefined;
-    if (!open && !belief.isProved()) return utils.Err(buildUnproved("keys"));
-    if (!open && grant === undefined) {
-      return utils.Err(buildFrontRefusal("not_authenticated"));
+    if (!keyless && !belief.isFresh()) return utils.Err(refuseStale("keys"));
+    if (!keyless && grant === undefined) {
+      return utils.Err(buildAdmissionRefusal("not_authenticated"));
     }
     return utils.Ok({
       incoming,
@@ -105,39 +108,42 @@
     });
   }
 
-  async #open(admitted: Admitted): Promise<void> {
+  async #readAndOpen(admitted: AdmittedRequest): Promise<void> {
     const { incoming, head, table } = admitted;
     const { maxBodyBytes, maxHeaderBytes } = table.configuration.limits;
     if (countHeaderBytes(incoming) > maxHeaderBytes) {
-      const refusal = buildFrontRefusal("too_large");
+      const refusal = buildAdmissionRefusal("too_large");
       return this.#refuse(incoming, { head, refusal });
     }
     const read = await incoming.readBody(maxBodyBytes);
     switch (read.kind) {
       case "left":
-        return this.#recordLeft(admitted);
+        return this.#recordCallerLeft(admitted);
       case "too_large": {
-        const refusal = buildFrontRefusal("too_large");
+        const refusal = buildAdmissionRefusal("too_large");
         return this.#refuse(incoming, { head, refusal });
       }
       case "whole":
-        await this.#waitWhereLate();
-        if (incoming.isGone()) return this.#recordLeft(admitted);
+        await this.#waitForPendingReads();
+        if (incoming.isDisconnected()) return this.#recordCallerLeft(admitted);
         return this.#openExchange(admitted, read.body);
     }
   }
 
-  /** A host that is late may have read a request without the end of its connection, which came behind it. */
-  async #waitWhereLate(): Promise<void> {
-    if (this.#options.dispatch.getLoopDelay() < LATE_MS) return;
+  /**
+   * Lets pending socket reads finish while the event loop is late: a caller may
+   * have closed its connection after the request, and that is not read yet.
+   */
+  async #waitForPendingReads(): Promise<void> {
+    if (this.#options.dispatch.getLoopDelay() < LATE_LOOP_MS) return;
     await utils.waitForReads();
   }
 
-  #openExchange(admitted: Admitted, body: Buffer): void {
+  #openExchange(admitted: AdmittedRequest, body: Buffer): void {
     const { incoming, head, table, arrivedAt } = admitted;
     const service = core.drawService(admitted.route, this.#options.random);
     if (service === undefined) {
-      const refusal = buildFrontRefusal("no_capacity");
+      const refusal = buildAdmissionRefusal("no_capacity");
       return this.#refuse(incoming, { head, refusal });
     }
     const request = this.#buildRequest(admitted, { service, body });
@@ -149,12 +155,12 @@
       table,
       route: admitted.route,
       open: admitted.route.anonymous || admitted.grant === undefined,
-      endsAt: arrivedAt + getPatience(admitted),
+      deadlineAt: arrivedAt + getTimeoutMs(admitted),
     });
   }
 
-  /** Nobody waits for an answer any more. */
-  #recordLeft({ head, route, arrivedAt }: Admitted): void {
+  /** Records that the caller disconnected before its request was opened. */
+  #recordCallerLeft({ head, route, arrivedAt }: AdmittedRequest): void {
     const { log, metrics, dispatch, clock } = this.#options;
     const stage = "reading";
     metrics.recordLeft(stage);
@@ -168,17 +174,17 @@
   }
 
   #buildRequest(
-    admitted: Admitted,
+    admitted: AdmittedRequest,
     { service, body }: { readonly service: string; readonly body: Buffer },
   ): core.Request {
     const { head, route, grant, arrivedAt, incoming } = admitted;
     const customer = grant?.customer ?? "";
     const queueMs = Math.min(
       route.targetMs,
-      QUEUE_SHARE * getPatience(admitted),
+      QUEUE_SHARE * getTimeoutMs(admitted),
     );
     return {
-      // Callers' identifiers are theirs to choose: two could be the same.
+      // Callers choose their own request identifiers, which need not be unique.
       id: utils.createId(),
       customer,
       keyId: head.key ?? "",
@@ -224,26 +230,27 @@
       ...refusal,
       path: incoming.path,
       version: belief.getTable()?.configuration.version,
-      proofAgeMs: belief.getAge(),
+      proofAgeMs: belief.getProofAge(),
     }, "Request refused.");
     refusalAnswer.sendRefusal(incoming.answer, { refusal, requestId });
   }
 }
 
-/** Time until the caller, or the operators for it, no longer wait, in ms. */
-function getPatience({ head, route }: Admitted): number {
+/** Returns the shorter of the caller's deadline and the route's timeout, in ms. */
+function getTimeoutMs({ head, route }: AdmittedRequest): number {
   return Math.min(head.deadlineMs ?? route.timeoutMs, route.timeoutMs);
 }
 
 /**
  * Returns the last part of a prompt that other requests may share: the subject
- * or session. Requests about it do well to meet at one server.
+ * or session. The router uses it to send these requests to the same server,
+ * which has the part in its cache.
  */
 function findSharedPart(parts: readonly ports.PromptPart[]): string {
   return (parts.length > 1 ? parts[parts.length - 2] : parts[0])?.id ?? "";
 }
 
-/** Bytes of the head as the caller sent it, near enough for a limit. */
+/** Estimates the bytes of the request line and headers, accurately enough for a limit. */
 function countHeaderBytes({ path, headers }: ingress.IncomingRequest): number {
   return Object.entries(headers).reduce(
     (sum, [name, value]) => sum + name.length + String(value).length + 4,
@@ -251,21 +258,22 @@
   );
 }
 
-function buildFrontRefusal(
+function buildAdmissionRefusal(
   code: core.RefusalCode,
   { message }: { readonly message?: string } = {},
 ): core.Refusal {
   return core.buildRefusal({ code, ran: "no", step: "caller.admit", message });
 }
 
-function buildUnproved(what: string): core.Refusal {
+function refuseStale(what: string): core.Refusal {
   return core.buildRefusal({
     code: "store_unavailable",
     ran: "no",
     step: "caller.admit",
     peer: "store",
-    waitMs: UNPROVED_RETRY_MS,
-    leastRetryMs: UNPROVED_RETRY_MS,
-    message: `This host has had no recent word from the store of its ${what}.`,
+    waitMs: STALE_STORE_RETRY_MS,
+    leastRetryMs: STALE_STORE_RETRY_MS,
+    message:
+      `This host could not confirm its ${what} with the store recently; retry, preferably on another host.`,
   });
 }
--- a/packages/banyangrade/routed/routed_host.ts
+++ b/packages/banyangrade/routed/routed_host.ts
@@ -1,4 +1,4 @@
-/** A host that serves by routes: its parts and servers, started and stopped. */
+/** Starts and stops a host that serves requests by the operators' routes, with its components and network servers. */
 import * as utils from "@banyangrade/utils";
 import * as operationsServer from "../operations_server.ts";
 import * as ingressModule from "./ingress.ts";
@@ -7,19 +7,19 @@
 
 /** A running host. */
 export interface RoutedHost {
-  /** Stops gracefully: calls itself not ready, then finishes what runs. */
+  /** Stops gracefully: reports itself not ready, then finishes open requests. */
   readonly drain: () => Promise<void>;
-  /** Stops at once. */
+  /** Stops immediately. */
   readonly close: () => Promise<void>;
 }
 
-/** Time for the balancer to find the host not ready twice, in ms; it asks once a second. */
-const BALANCER_NOTICE_MS = 2_300;
-/** Part of the grace period after which what still runs is given up; the rest is for the last counts, which take a call to the store. */
-const GIVE_UP_SHARE = 0.85;
-/** Longest time for those after the requests have ended, in ms; less than the rest of the shortest grace period of some seconds. */
-const CLOSE_MS = 900;
-/** Between two looks at what is still running, in ms. */
+/** Time within which the load balancer sees the host not ready twice, in ms; it checks once a second. */
+const READINESS_NOTICE_MS = 2_300;
+/** Share of the grace period after which open requests are abandoned; the rest is for publishing the last usage counts to the store. */
+const DRAIN_SHARE = 0.85;
+/** Longest time for closing after the requests have ended, in ms; less than the remaining share of the shortest grace period, of a few seconds. */
+const CLOSE_TIMEOUT_MS = 900;
+/** Interval between checks for open requests while draining, in ms. */
 const DRAIN_POLL_MS = 50;
 
 /**
@@ -43,11 +43,11 @@
     close: () => closeHost(parts, servers),
     drain: async () => {
       await drainHost(parts, servers);
-      // Whatever does not answer must not keep the process beyond its grace
-      // period: it would be killed, and a planned stop count as a loss.
+      // A call that gets no response must not keep the process running beyond its
+      // grace period: it would be killed, and a planned stop would count as a loss.
       await Promise.race([
         closeHost(parts, servers),
-        utils.waitFor(CLOSE_MS),
+        utils.waitFor(CLOSE_TIMEOUT_MS),
       ]);
     },
   };
@@ -66,8 +66,8 @@
   const isReady = () => routedParts.isReady(parts);
   const ingress = await ingressModule.startIngress({
     ...utils.splitAddress(settings.callerAddress),
-    onRequest: (request) => parts.front.handle(request),
-    isLeaving: () => state.draining || !belief.isReady(),
+    onRequest: (request) => parts.requestHandler.handle(request),
+    closesConnections: () => state.draining || !belief.isReady(),
   });
   parts.ingress = ingress;
   const readiness = await readinessModule.startReadiness({
@@ -87,7 +87,7 @@
   return { ingress, readiness, operations };
 }
 
-/** Ages of beliefs, open work and roles, read when the metrics are. */
+/** Adds gauges for the age of the store's data, open requests and roles; they are read on each scrape. */
 function addGauges(
   { metrics, belief, dispatch, roles, relay }: routedParts.RoutedParts,
 ): void {
@@ -97,7 +97,7 @@
   });
   metrics.addGauge("banyangrade_proof_age_seconds", {
     help: "Age of the last word from the store.",
-    read: () => belief.getAge() / 1_000,
+    read: () => belief.getProofAge() / 1_000,
   });
   metrics.addGauge("banyangrade_open_requests", {
     help: "Requests queued and running.",
@@ -122,17 +122,17 @@
     routedParts.RoutedParts,
   { ingress }: HostServers,
 ): Promise<void> {
-  const until = clock.now() + GIVE_UP_SHARE * settings.graceMs;
+  const until = clock.now() + DRAIN_SHARE * settings.graceMs;
   state.draining = true;
   log.info({ open: dispatch.countOpen() }, "Draining.");
-  // Requests are still taken until the balancer has seen it.
+  // Requests are still accepted until the load balancer has seen the change.
   await Promise.all([
     roles.stop(),
     relay.stop(),
-    utils.waitFor(BALANCER_NOTICE_MS),
+    utils.waitFor(READINESS_NOTICE_MS),
   ]);
-  // A connection that was busy all the while may bring one more request,
-  // which could outlast the stop; its caller loses less by going elsewhere.
+  // A connection that stayed busy may still carry a new request, which could run
+  // beyond the grace period. It is refused so that its caller retries elsewhere.
   state.closed = true;
   ingress.drain();
   while (dispatch.countOpen() > 0 && clock.now() < until) {
--- a/packages/banyangrade/routed/routed_parts.ts
+++ b/packages/banyangrade/routed/routed_parts.ts
@@ -1,7 +1,7 @@
 /**
- * The parts of a host that serves by routes, and how they are connected. They
- * refer to each other, so they are added to one draft, step by step, and look
- * each other up when they are called.
+ * Builds and connects the components of a host that serves requests by the
+ * operators' routes. The components refer to each other, so they are added to one
+ * object step by step and look each other up when they are called.
  */
 import * as core from "@banyangrade/core";
 import * as utils from "@banyangrade/utils";
@@ -28,53 +28,53 @@
   readonly clock: utils.Clock;
 }
 
-/** Everything a host is made of but its servers. */
+/** The components of a host, except its network servers. */
 export interface RoutedParts extends RoutedHostOptions {
   readonly clocks: hostClocks.HostClocks;
   readonly incarnation: string;
   readonly random: utils.Random;
-  /** Draining: not ready any more. Closed: nothing more is taken. */
+  /** While draining, the host reports itself not ready; once closed, it refuses new requests. */
   readonly state: { draining: boolean; closed: boolean };
   readonly pools: serverPools.ServerPools;
   readonly metrics: metricsModule.Metrics;
   readonly budget: core.WindowRetryBudget;
   readonly counter: core.WindowCounter;
   readonly dispatch: dispatchTask.DispatchTask;
-  /** Servers lost of late, and the requests that they ran. */
+  /** Recently lost servers, with the requests that they ran. */
   readonly marks: core.MarkSet;
   readonly coldStarts: core.ColdStarts;
   readonly relay: relayTask.RelayTask;
   readonly feed: relayedFeed.RelayedFeed;
-  readonly belief: beliefTask.BeliefTask;
-  readonly presence: presenceTask.PresenceTask;
+  readonly belief: beliefTask.ClusterStateTask;
+  readonly presence: presenceTask.HostStatusTask;
   readonly roles: rolesTask.RolesTask;
-  readonly front: routedFront.RoutedFront;
+  readonly requestHandler: routedFront.RequestHandler;
   /** Set when the server for callers has started. */
   ingress?: ingressModule.Ingress;
 }
 
-/** Parts while they are being added. */
+/** The components while they are being added. */
 type Draft = { -readonly [Name in keyof RoutedParts]: RoutedParts[Name] };
 
 /**
- * A request is run apart once it has taken two servers, and refused after
- * three. Every host knows of all of them: sixty hosts that each let it take two
- * would lose every server to it.
+ * A request during which two servers were lost is isolated, and refused after
+ * three. The hosts share what they know of lost servers: if each of sixty hosts
+ * allowed the request two servers, it would take down all servers.
  */
-const SUSPECTS: core.SuspectOptions = {
+const SUSPECT_OPTIONS: core.SuspectOptions = {
   isolateAfter: 2,
   poisonLimit: 3,
-  // Callers send again after any loss, mostly to another host; only what has
-  // taken several servers waits.
+  // Callers retry after any loss, mostly at another host, so a request is not held
+  // for a single loss that another host saw.
   holdsForeign: false,
 };
-/** Time for which the other hosts are told of a lost server, in ms: some words, so that each hears of it. */
-const MARK_MS = 10_000;
-/** Hosts that are taken to share budgets and connections before their number is known. */
-const HOSTS_AT_FIRST = 8;
+/** Time for which a lost server is reported to the other hosts, in ms; several status reports, so that each host receives it. */
+const SUSPECT_TTL_MS = 10_000;
+/** Number of hosts assumed to share the retry budget and the connections until it is known. */
+const ASSUMED_HOSTS = 8;
 
 /**
- * Builds all parts; nothing is started.
+ * Builds all components without starting them.
  *
  * @example
  * const parts = buildRoutedParts({ settings, platform, log, clock });
@@ -83,15 +83,15 @@
   const draft = buildBase(options) as Draft;
   addDispatch(draft);
   addRelay(draft);
-  addBelief(draft);
-  addPresence(draft);
+  addClusterState(draft);
+  addHostStatus(draft);
   addRoles(draft);
-  addFront(draft);
+  addRequestHandler(draft);
   return draft;
 }
 
 /**
- * Whether new connections do well to come to this host.
+ * Whether the load balancer should send new connections to this host.
  *
  * @example
  * const status = isReady(parts) ? 200 : 503;
@@ -102,11 +102,11 @@
   return !state.draining && belief.isReady();
 }
 
-/** What refers to no other part. */
+/** Builds the components that refer to no other one. */
 function buildBase(options: RoutedHostOptions): Partial<Draft> {
   const { settings, clock } = options;
   const pools = new serverPools.ServerPools({ clock });
-  pools.setHosts(HOSTS_AT_FIRST);
+  pools.setHosts(ASSUMED_HOSTS);
   const incarnation = utils.createId();
   return {
     ...options,
@@ -118,7 +118,7 @@
     metrics: new metricsModule.Metrics(),
     counter: new core.WindowCounter(),
     budget: new core.WindowRetryBudget(settings.retries, {
-      hosts: HOSTS_AT_FIRST,
+      hosts: ASSUMED_HOSTS,
     }),
     marks: new core.MarkSet(),
     coldStarts: new core.ColdStarts(),
@@ -135,13 +135,13 @@
       random,
       budget,
       preempts: false,
-      leastRetryMs: routedExchange.LEAST_RETRY_MS,
-      suspects: SUSPECTS,
+      leastRetryMs: routedExchange.MIN_RETRY_MS,
+      suspects: SUSPECT_OPTIONS,
       comparesPrompts: true,
-      isConnected: (server) => draft.pools.hasFree(server),
+      isConnected: (server) => draft.pools.hasIdleConnection(server),
     }),
     onSuspect: ({ mark }) =>
-      void draft.marks.add({ ...mark, until: clock.now() + MARK_MS }),
+      void draft.marks.add({ ...mark, until: clock.now() + SUSPECT_TTL_MS }),
     onAskCapacity: () => undefined,
   });
 }
@@ -160,11 +160,11 @@
     getHandlers: () => ({
       readAll: (prefix) => draft.feed.answerReadAll(prefix),
       pollChanges: (message) => {
-        // Its followers look for another relay while this one still answers.
-        if (state.draining) throw new Error("This host is stopping.");
+        // The error makes followers look for another relay or the store at once.
+        if (state.draining) throw new Error("This relay is draining.");
         return draft.feed.answerPoll(message);
       },
-      report: (words) => draft.presence.takeStatuses(words),
+      report: (statuses) => draft.presence.acceptStatuses(statuses),
       getSummary: () => draft.presence.getSummary(),
     }),
   });
@@ -175,16 +175,16 @@
   });
 }
 
-function addBelief(draft: Draft): void {
+function addClusterState(draft: Draft): void {
   const { settings, platform, clocks, log } = draft;
-  draft.belief = new beliefTask.BeliefTask({
+  draft.belief = new beliefTask.ClusterStateTask({
     platform,
     clock: clocks.lease,
     log: utils.createPartLogger(log, "belief"),
     withdrawMs: settings.withdrawMs,
     leaveMs: settings.leaveMs,
     feed: draft.feed,
-    countHosts: () => draft.presence.countRelays(),
+    countStoreReaders: () => draft.presence.countRelays(),
     onConfiguration: ({ configuration }) => {
       draft.ingress?.setLimits(configuration.limits);
       draft.dispatch.send({
@@ -201,9 +201,9 @@
   });
 }
 
-function addPresence(draft: Draft): void {
+function addHostStatus(draft: Draft): void {
   const { settings, platform, clocks, log, incarnation } = draft;
-  draft.presence = new presenceTask.PresenceTask({
+  draft.presence = new presenceTask.HostStatusTask({
     store: platform.store,
     clock: clocks.lease,
     log: utils.createPartLogger(log, "presence"),
@@ -213,7 +213,7 @@
     describe: () => hostUpdates.describeHost(draft),
     hasRole: () => draft.roles.hasRole(),
     getDivisions: () => draft.roles.getDivisions(),
-    onOthers: (digest) => hostUpdates.applyOthers(draft, digest),
+    onSummary: (summary) => hostUpdates.applyHostsSummary(draft, summary),
   });
 }
 
@@ -238,8 +238,8 @@
   });
 }
 
-function addFront(draft: Draft): void {
-  draft.front = new routedFront.RoutedFront({
+function addRequestHandler(draft: Draft): void {
+  draft.requestHandler = new routedFront.RequestHandler({
     ...draft,
     log: utils.createPartLogger(draft.log, "request"),
     wire: draft.platform.wire,
@@ -254,12 +254,12 @@
   { belief }: Draft,
   { key, customer }: { readonly key: string; readonly customer: string },
 ): routedExchange.KeyCheck {
-  if (!belief.isProved()) return "unproved";
+  if (!belief.isFresh()) return "unverified";
   const grant = belief.getTable()?.byKey.get(key);
   return grant?.customer === customer ? "valid" : "withdrawn";
 }
 
-/** Counts a request that began at `at`, monotonic ms, in its usage window. */
+/** Counts a request that began at the monotonic time `at`, in ms, in its usage window. */
 function countUsage(
   { clock, clocks, counter, settings }: Draft,
   { customer, at }: { readonly customer: string; readonly at: number },
--- a/packages/banyangrade/routed/server_pools.ts
+++ b/packages/banyangrade/routed/server_pools.ts
@@ -1,14 +1,14 @@
-/** Connections to backend servers, one pool for each server's incarnation. */
+/** Connection pools to backend servers, one for each incarnation of a server. */
 import type * as core from "@banyangrade/core";
 import * as service from "@banyangrade/service";
 import type * as utils from "@banyangrade/utils";
 
-/** Part of a server's connections that all hosts together open. */
-const USED_SHARE = 0.8;
-/** Connections that each host may open in any case. */
-const LEAST_CONNECTIONS = 4;
+/** Share of a server's connection limit that all hosts together use. */
+const CONNECTION_SHARE = 0.8;
+/** Number of connections that each host may open regardless of its share. */
+const MIN_CONNECTIONS = 4;
 
-/** Opens and closes the pools. */
+/** Opens and closes the connection pools. */
 export class ServerPools {
   readonly #pools = new Map<string, service.ServerConnections>();
   readonly #clock: utils.Clock;
@@ -18,31 +18,31 @@
     this.#clock = options.clock;
   }
 
-  /** Takes over how many hosts share each server's connections. */
+  /** Sets the number of hosts that share each server's connections. */
   setHosts(hosts: number): void {
     this.#hosts = Math.max(1, hosts);
   }
 
   /**
-   * Returns how many requests this host may give to one server at a time: as
-   * many as it opens connections. More would wait inside the HTTP client, where
-   * neither a leaving server nor a withdrawn key stops them.
+   * Returns the limit of concurrent requests to a server: the number of
+   * connections. Further requests would queue inside the HTTP client, and would be
+   * sent even after the server starts to leave or the key is withdrawn.
    */
   getLimit(name: string, connectionLimit: number): number {
     return this.#pools.get(name)?.limit ?? this.#computeShare(connectionLimit);
   }
 
   #computeShare(connectionLimit: number): number {
-    const part = USED_SHARE * connectionLimit / this.#hosts;
-    return Math.max(LEAST_CONNECTIONS, Math.floor(part));
+    const part = CONNECTION_SHARE * connectionLimit / this.#hosts;
+    return Math.max(MIN_CONNECTIONS, Math.floor(part));
   }
 
-  /** Whether a connection to a server is open that nothing uses. */
-  hasFree(name: string): boolean {
+  /** Whether an open connection to the server is idle. */
+  hasIdleConnection(name: string): boolean {
     return this.#pools.get(name)?.hasFree() ?? false;
   }
 
-  /** Returns the connections to a server, which is made on first use. */
+  /** Returns the connection pool of a server; it is created on first use. */
   get(
     server: core.ServerInfo,
     options: { readonly connectionLimit: number },
@@ -57,8 +57,8 @@
     return pool;
   }
 
-  /** Closes the pools of servers that are no longer listed, as their work ends. */
-  keep(names: ReadonlySet<string>): void {
+  /** Closes the pools of servers that are no longer listed; running requests are completed first. */
+  closeUnlisted(names: ReadonlySet<string>): void {
     [...this.#pools].filter(([name]) => !names.has(name))
       .forEach(([name, pool]) => {
         this.#pools.delete(name);
