--- a/packages/banyangrade/routed/host_updates.ts
+++ b/packages/banyangrade/routed/host_updates.ts
@@ -41,7 +41,7 @@
     (belief.getTable()?.configuration.services ?? [])
       .map((one) => [one.name, one]),
   );
-  coldStarts.setAll(listed.map(toColdState), clock.now());
+  coldStarts.setAll(listed.map(toColdReport), clock.now());
   const servers = listed.map((server) => {
     const name = getServerName(server);
     const service = services.get(server.service);
@@ -133,7 +133,7 @@
   };
 }
 
-function toColdState(listed: core.ListedServer): core.ColdWord {
+function toColdReport(listed: core.ListedServer): core.ColdWord {
   return {
     name: getServerName(listed),
     failureDomain: listed.failureDomain,
--- a/packages/banyangrade/routed/orders_round.ts
+++ b/packages/banyangrade/routed/orders_round.ts
@@ -164,9 +164,11 @@
     const usableDomains = this.#options.settings.failureDomains
       .filter((one) => !this.#options.isEvacuated(one));
     return usableDomains.map((failureDomain) => {
-      const own = ready.filter((one) => one.failureDomain === failureDomain);
-      const spot = own.filter((one) => one.spot).length;
-      return { failureDomain, spot, ordinary: own.length - spot };
+      const servers = ready.filter((one) =>
+        one.failureDomain === failureDomain
+      );
+      const spot = servers.filter((one) => one.spot).length;
+      return { failureDomain, spot, ordinary: servers.length - spot };
     });
   }
 
--- a/packages/banyangrade/routed/presence_task.ts
+++ b/packages/banyangrade/routed/presence_task.ts
@@ -22,7 +22,7 @@
 /** Number of rounds after which a host without a role reads the published statuses again, to find new relays. */
 const ROUNDS_PER_READ = 4;
 /** Attempts to publish in one round; enough if the lease and the entry have both expired. */
-const PUBLISH_TRIES = 3;
+const PUBLISH_ATTEMPTS = 3;
 /** Time since its last publication for which a relay counts as publishing, in ms; two rounds and a slow call. */
 const RECENT_PUBLISH_MS = 2_500;
 /** Interval between renewals of the entry's lease, in ms. */
@@ -157,8 +157,8 @@
     // long, and the times of the other hosts in the summary would be outdated.
     if (answer !== undefined) this.#options.onSummary(answer.others);
     // In the first round the relay may have just started and not have published.
-    const isFirstRound = answer !== undefined && this.#round === 1;
-    if (!answer?.publishes && !isFirstRound) await this.#publish();
+    const isRelayStarting = answer !== undefined && this.#round === 1;
+    if (!answer?.publishes && !isRelayStarting) await this.#publish();
     const readsPublished = answer === undefined &&
       this.#round % ROUNDS_PER_READ === 1;
     if (readsPublished || hasRole()) await this.#readPublished();
@@ -246,8 +246,8 @@
     const { clock } = this.#options;
     this.#publishedRound = this.#round;
     const sentAt = clock.now();
-    let left = PUBLISH_TRIES;
-    while (left > 0 && !await this.#tryPublish()) left -= 1;
+    let attemptsLeft = PUBLISH_ATTEMPTS;
+    while (attemptsLeft > 0 && !await this.#tryPublish()) attemptsLeft -= 1;
     if (this.#publishedAt < sentAt) await this.#forwardStatuses();
   }
 
--- a/packages/banyangrade/routed/relayed_feed.ts
+++ b/packages/banyangrade/routed/relayed_feed.ts
@@ -112,12 +112,12 @@
   }
 
   #recordRead(prefix: string, read: Polled): void {
-    const followed = this.#getPrefix(prefix);
+    const watched = this.#getPrefix(prefix);
     // "not_found" means that the store has compacted its history; it is reachable.
     const error = read.err && read.val.code !== "not_found"
       ? read.val
       : undefined;
-    followed.failures = error === undefined ? 0 : followed.failures + 1;
+    watched.failures = error === undefined ? 0 : watched.failures + 1;
     this.#storeFailure = error && { error, at: this.#options.clock.now() };
   }
 
@@ -227,13 +227,13 @@
   #getPrefix(prefix: string): WatchedPrefix {
     const known = this.#prefixes.get(prefix);
     if (known !== undefined) return known;
-    const followed = {
+    const watched = {
       cache: new store.PrefixCache(),
       failures: 0,
       listeners: new Set<() => void>(),
     };
-    this.#prefixes.set(prefix, followed);
-    return followed;
+    this.#prefixes.set(prefix, watched);
+    return watched;
   }
 
   /** Waits until a condition is met that depends on changes and on the age of the last response from the store. */
--- a/packages/banyangrade/routed/routed_exchange.ts
+++ b/packages/banyangrade/routed/routed_exchange.ts
@@ -17,7 +17,7 @@
   readonly log: utils.Logger;
   readonly dispatch: dispatchTask.DispatchTask;
   readonly metrics: metrics.Metrics;
-  readonly pools: serverPools.ServerPools;
+  readonly pools: serverPools.ConnectionPools;
   readonly wire: ports.WireFormat;
   /** Checks whether an API key that was valid on arrival may still start an attempt. */
   readonly checkKey: (key: string, customer: string) => KeyCheck;
--- a/packages/banyangrade/routed/routed_parts.ts
+++ b/packages/banyangrade/routed/routed_parts.ts
@@ -35,7 +35,7 @@
   readonly random: utils.Random;
   /** While draining, the host reports itself not ready; once closed, it refuses new requests. */
   readonly state: { draining: boolean; closed: boolean };
-  readonly pools: serverPools.ServerPools;
+  readonly pools: serverPools.ConnectionPools;
   readonly metrics: metricsModule.Metrics;
   readonly budget: core.WindowRetryBudget;
   readonly counter: core.WindowCounter;
@@ -105,7 +105,7 @@
 /** Builds the components that refer to no other one. */
 function buildBase(options: RoutedHostOptions): Partial<Draft> {
   const { settings, clock } = options;
-  const pools = new serverPools.ServerPools({ clock });
+  const pools = new serverPools.ConnectionPools({ clock });
   pools.setHosts(ASSUMED_HOSTS);
   const incarnation = utils.createId();
   return {
--- a/packages/banyangrade/routed/server_pools.ts
+++ b/packages/banyangrade/routed/server_pools.ts
@@ -9,7 +9,7 @@
 const MIN_CONNECTIONS = 4;
 
 /** Opens and closes the connection pools. */
-export class ServerPools {
+export class ConnectionPools {
   readonly #pools = new Map<string, service.ServerConnections>();
   readonly #clock: utils.Clock;
   #hosts = 1;
