--- a/packages/banyangrade/log_story.ts
+++ b/packages/banyangrade/log_story.ts
@@ -59,9 +59,7 @@
   return [
     ...own.map((line) => `${describeTime(line, own[0])} ${describe(line)}`),
     ...(background.length === 0 ? [] : [
-      `What ${end.host} came to believe in the ${
-        BACKGROUND_MS / 1_000
-      } s before:`,
+      `State changes of ${end.host} in the ${BACKGROUND_MS / 1_000} s before:`,
     ]),
     ...background.map((line) =>
       `${describeTime(line, own[0])} ${line.msg}${describeError(line)}`
@@ -88,7 +86,7 @@
     case "Attempt started.": {
       const resumed = line.resumeAfter === undefined
         ? ""
-        : `, to go on behind event ${line.resumeAfter}`;
+        : `, to resume after event ${line.resumeAfter}`;
       return `${line.host} sent it to ${line.server} (attempt ${line.attempt}` +
         `, route ${line.route}, configuration ${line.version}) after ` +
         `${line.waitedMs} ms${resumed}.`;
@@ -97,7 +95,7 @@
       return `${line.server} failed it (${line.failure}): ${line.reason} ` +
         `The caller had received ${line.events} events.`;
     case "Request answered.":
-      return `Answered whole after ${line.totalMs} ms, the first part after ` +
+      return `Answered completely after ${line.totalMs} ms, the first part after ` +
         `${line.firstMs} ms.`;
     case "Failure passed on.":
       return `The error response of ${line.server} was forwarded (status ` +
--- a/packages/banyangrade/log_story_test.ts
+++ b/packages/banyangrade/log_story_test.ts
@@ -5,7 +5,7 @@
 const tap = tapModule.default;
 
 const LINES = [
-  `{"time":1000,"host":"h1","msg":"belief: Store lost.","error":{"code":"unreachable","step":"store.poll","peer":"store","message":"No answer."}}`,
+  `{"time":1000,"host":"h1","msg":"belief: Store unreachable.","error":{"code":"unreachable","step":"store.poll","peer":"store","message":"No answer."}}`,
   `{"time":4000,"host":"h2","msg":"belief: Store unreachable."}`,
   `12.5 h1 {"time":5000,"host":"h1","requestId":"r1","attempt":1,"server":"s1@7","route":"chat","version":3,"waitedMs":2,"msg":"request: Attempt started."}`,
   `{"time":5100,"host":"h1","requestId":"r2","attempt":1,"server":"s2@7","msg":"request: Attempt started."}`,
@@ -20,10 +20,10 @@
   t.match(story, [
     /^\+0 ms h1 sent it to s1@7 \(attempt 1/,
     /^\+200 ms s1@7 failed it \(connection_lost\): read ECONNRESET/,
-    /go on behind event 4\.$/,
-    /^\+1000 ms Answered whole after 1000 ms/,
-    /^What h1 came to believe/,
-    /^-4000 ms belief: Store lost\. store\.poll at store: No answer\./,
+    /resume after event 4\.$/,
+    /^\+1000 ms Answered completely after 1000 ms/,
+    /^State changes of h1 in the 10 s before/,
+    /^-4000 ms belief: Store unreachable\. store\.poll at store: No answer\./,
   ]);
   t.equal(story.length, 6);
   t.end();
