--- a/packages/banyangrade/routed/ingress.ts
+++ b/packages/banyangrade/routed/ingress.ts
@@ -29,7 +29,7 @@
 
 /** Result of reading a request body. */
 export type BodyResult =
-  | { readonly kind: "whole"; readonly body: Buffer }
+  | { readonly kind: "complete"; readonly body: Buffer }
   | { readonly kind: "too_large" }
   /** The caller disconnected before the body was complete. */
   | { readonly kind: "left" };
@@ -204,6 +204,6 @@
     return { kind: "left" };
   }
   return request.complete
-    ? { kind: "whole", body: Buffer.concat(chunks) }
+    ? { kind: "complete", body: Buffer.concat(chunks) }
     : { kind: "left" };
 }
--- a/packages/banyangrade/routed/routed_front.ts
+++ b/packages/banyangrade/routed/routed_front.ts
@@ -123,7 +123,7 @@
         const refusal = buildAdmissionRefusal("too_large");
         return this.#refuse(incoming, { head, refusal });
       }
-      case "whole":
+      case "complete":
         await this.#waitForPendingReads();
         if (incoming.isDisconnected()) return this.#recordCallerLeft(admitted);
         return this.#openExchange(admitted, read.body);
