--- a/packages/banyangrade/dispatch_task.ts
+++ b/packages/banyangrade/dispatch_task.ts
@@ -118,7 +118,7 @@
 
   /** Prompt tokens that each engine has not yet read. */
   countPrompting(): Record<string, number> {
-    return this.#options.dispatcher.countPrompting();
+    return this.#options.dispatcher.countPendingPrefill();
   }
 
   /** Takes over how a service's engines are divided. */
--- a/packages/banyangrade/routed/routed_front.ts
+++ b/packages/banyangrade/routed/routed_front.ts
@@ -211,7 +211,11 @@
         : Number.POSITIVE_INFINITY,
       weight: 1,
       maxAttempts: route.maxAttempts,
-      homes: core.listHomes({ route, grant, regions: this.#options.regions }),
+      allowedDomains: core.listHomes({
+        route,
+        grant,
+        regions: this.#options.regions,
+      }),
     };
   }
 
--- a/packages/core/intake.ts
+++ b/packages/core/admission_control.ts
@@ -1,12 +1,12 @@
 /** Admission control: refuses an arriving request at once, or queues it. */
-import * as admission from "./admission.ts";
+import * as admissionEstimates from "./admission_estimates.ts";
 import * as constants from "./constants.ts";
 import * as hostState from "./host_state.ts";
 import * as overflow from "./overflow.ts";
 import type * as refusals from "./refusals.ts";
 import type * as request from "./request.ts";
 import * as serverState from "./server_state.ts";
-import * as starting from "./starting.ts";
+import * as dispatching from "./dispatching.ts";
 
 /**
  * Refuses or queues an arriving request, then dispatches the queue of its target.
@@ -33,12 +33,12 @@
     unsentAttempts: 0,
     offset: 0,
     ran: "no",
-    late: false,
+    missedTarget: false,
     atFront: false,
     postponements: 0,
     suspect: state.suspects.isSuspect(request.fingerprint),
   });
-  starting.dispatchQueue(state, [request.target]);
+  dispatching.dispatchQueue(state, [request.target]);
 }
 
 /** Returns why a request must be refused whatever the load is, or undefined. */
@@ -65,7 +65,7 @@
   state: hostState.HostState,
   request: request.Request,
 ): boolean {
-  return request.homes === undefined ||
+  return request.allowedDomains === undefined ||
     state.table.listFor(request.target).some((server) =>
       server.info.state === "live" && serverState.mayRunAt(server, request)
     );
@@ -133,8 +133,10 @@
   state: hostState.HostState,
   { request, pools }: RequestPools,
 ): boolean {
-  const isGrantFresh = state.now - state.grantAsOf <= constants.GRANT_VALID_MS;
-  return (isGrantFresh && admission.hasLowerWork(request.tier, pools)) ||
+  const isGrantFresh =
+    state.now - state.grantDemandAt <= constants.GRANT_VALID_MS;
+  return (isGrantFresh &&
+    admissionEstimates.hasLowerTierWorkElsewhere(request.tier, pools)) ||
     hostState.findVictim(state, request) !== undefined;
 }
 
@@ -143,9 +145,9 @@
   state: hostState.HostState,
   { request, pools }: RequestPools,
 ): number {
-  return admission.estimateWait(
-    admission.measureBacklog(request, {
-      lanes: state.queue.listWaitingFor([request.target]),
+  return admissionEstimates.estimateWait(
+    admissionEstimates.measureBacklog(request, {
+      lanes: state.queue.listNonEmptyLanesFor([request.target]),
       pools,
       serviceMs: state.lengths.get(hostState.getEstimateKey(request)).serviceMs,
     }),
--- a/packages/core/admission.ts
+++ b/packages/core/admission_estimates.ts
@@ -50,7 +50,8 @@
 ): Backlog {
   const lanesAhead = options.lanes.filter((lane) =>
     lane.target === request.target &&
-    (lane.tier < request.tier || (lane.tier === request.tier && !lane.late))
+    (lane.tier < request.tier ||
+      (lane.tier === request.tier && !lane.missedTarget))
   );
   const aheadHere = lanesAhead
     .reduce((sum, lane) => sum + countAhead(lane, request), 0);
@@ -104,7 +105,7 @@
  * @example
  * hasLowerWork(request.tier, pools);
  */
-export function hasLowerWork(
+export function hasLowerTierWorkElsewhere(
   tier: number,
   pools: readonly serverState.PoolState[],
 ): boolean {
--- a/packages/core/homes_fuzz_test.ts
+++ b/packages/core/allowed_domains_fuzz_test.ts
@@ -31,7 +31,7 @@
 const STEP = fc.oneof(
   fc.record({
     kind: fc.constant("arrives" as const),
-    homes: fc.option(fc.subarray(DOMAINS), { nil: undefined }),
+    allowedDomains: fc.option(fc.subarray(DOMAINS), { nil: undefined }),
   }),
   fc.record({
     kind: fc.constant("fails" as const),
@@ -64,8 +64,11 @@
           });
       });
       return started.every((
-        { request: { homes }, server: { failureDomain } },
-      ) => homes === undefined || homes.includes(failureDomain ?? ""));
+        { request: { allowedDomains }, server: { failureDomain } },
+      ) =>
+        allowedDomains === undefined ||
+        allowedDomains.includes(failureDomain ?? "")
+      );
     }),
     { numRuns: RUNS, seed: 31 },
   );
@@ -88,7 +91,7 @@
         kind: "arrived",
         request: {
           ...testing.buildRequest(`r${index}`, { tier: 1 }),
-          homes: step.homes,
+          allowedDomains: step.allowedDomains,
           arrivedAt: now,
           startBy: now + 5_000,
         },
@@ -123,7 +126,7 @@
   const dispatcher = testing.startDispatcher();
   const request = {
     ...testing.buildRequest("r1", { tier: 1 }),
-    homes: ["south"],
+    allowedDomains: ["south"],
   };
   const [refused] = dispatcher.handle({ kind: "arrived", request }, 0);
   t.match(refused, {
--- a/packages/core/ending.ts
+++ b/packages/core/attempt_end.ts
@@ -7,7 +7,7 @@
 import type * as request from "./request.ts";
 import * as retry from "./retry.ts";
 import * as serverState from "./server_state.ts";
-import * as starting from "./starting.ts";
+import * as dispatching from "./dispatching.ts";
 
 type EventOf<Kind extends events.DispatchEvent["kind"]> = Extract<
   events.DispatchEvent,
@@ -136,7 +136,10 @@
   ended: attempts.Attempt,
 ): void {
   const pool = state.table.getPool(ended.pool);
-  starting.dispatchQueue(state, pool?.part.targets ?? [ended.request.target]);
+  dispatching.dispatchQueue(
+    state,
+    pool?.part.targets ?? [ended.request.target],
+  );
 }
 
 /** Marks the request of a lost connection as a suspect that may have crashed its server. */
@@ -219,7 +222,7 @@
     offset: ended.offset + ended.tokens,
     avoid,
     ran,
-    late: false,
+    missedTarget: false,
     atFront: true,
     postponements: 0,
     suspect: state.suspects.isSuspect(request.fingerprint),
@@ -253,7 +256,7 @@
         ran: entry.ran,
       });
     });
-  starting.dispatchQueue(state);
+  dispatching.dispatchQueue(state);
 }
 
 /**
@@ -271,7 +274,7 @@
   );
   if (queued.length > 0) return;
   stopAttempt(state, { requestId, reason: "caller_left" });
-  starting.dispatchQueue(state);
+  dispatching.dispatchQueue(state);
 }
 
 /**
@@ -321,7 +324,7 @@
         ran: "unknown",
       });
     });
-  starting.dispatchQueue(state);
+  dispatching.dispatchQueue(state);
 }
 
 /**
--- a/packages/core/yielding.ts
+++ b/packages/core/deadline_checks.ts
@@ -1,11 +1,11 @@
 /** Periodic work: preempts for delayed requests and refuses those past their start deadline. */
-import * as admission from "./admission.ts";
+import * as admissionEstimates from "./admission_estimates.ts";
 import * as constants from "./constants.ts";
-import * as ending from "./ending.ts";
+import * as attemptEnd from "./attempt_end.ts";
 import * as hostState from "./host_state.ts";
 import type * as queue from "./queue.ts";
 import type * as request from "./request.ts";
-import * as starting from "./starting.ts";
+import * as dispatching from "./dispatching.ts";
 
 /**
  * Handles a timer tick. Preemption comes before expiry: after a pause of the
@@ -17,7 +17,7 @@
  */
 export function handleTick(state: hostState.HostState): void {
   state.reading.record(countPrefilling(state), state.now);
-  starting.dispatchQueue(state);
+  dispatching.dispatchQueue(state);
   preemptForDelayed(state);
   handleOverdue(state);
   requeueMissedTargets(state);
@@ -33,7 +33,9 @@
       kind === "generate" && tokens === 0
     )
     .forEach(({ request: { target } }) => add(target, 1));
-  state.queue.listWaiting().forEach(({ target, size }) => add(target, size));
+  state.queue.listNonEmptyLanes().forEach(({ target, size }) =>
+    add(target, size)
+  );
   return counts;
 }
 
@@ -43,18 +45,20 @@
  */
 function requeueMissedTargets(state: hostState.HostState): void {
   state.queue.removeOverdue((entry) =>
-    !entry.late && entry.offset === 0 &&
+    !entry.missedTarget && entry.offset === 0 &&
     state.now - entry.request.arrivedAt > entry.request.targetMs
   ).forEach((entry) =>
-    state.queue.add({ ...entry, late: true, atFront: false })
+    state.queue.add({ ...entry, missedTarget: true, atFront: false })
   );
 }
 
 /** Preempts work of lower tiers for lanes whose head has waited too long. */
 function preemptForDelayed(state: hostState.HostState): void {
-  state.queue.listWaiting().forEach((lane) => {
+  state.queue.listNonEmptyLanes().forEach((lane) => {
     let head = lane.peek();
-    while (head !== undefined && hostState.isLate(state, head.request)) {
+    while (
+      head !== undefined && hostState.isPreemptionDue(state, head.request)
+    ) {
       if (!preemptForHead(state, { lane, request: head.request })) return;
       head = lane.peek();
     }
@@ -76,12 +80,12 @@
 ): boolean {
   const victim = hostState.findVictim(state, request);
   if (victim !== undefined) {
-    ending.preemptAttempt(state, victim);
-    starting.dispatchLane(state, lane);
+    attemptEnd.preemptAttempt(state, victim);
+    dispatching.dispatchLane(state, lane);
     return true;
   }
   const pools = hostState.listPoolsFor(state, request);
-  if (admission.hasLowerWork(request.tier, pools)) {
+  if (admissionEstimates.hasLowerTierWorkElsewhere(request.tier, pools)) {
     state.effects.push({ kind: "ask_capacity" });
   }
   return false;
@@ -98,11 +102,11 @@
   );
   overdue.forEach((entry) => {
     const victim = hostState.findVictim(state, entry.request);
-    if (victim !== undefined) ending.preemptAttempt(state, victim);
+    if (victim !== undefined) attemptEnd.preemptAttempt(state, victim);
     else if (!hasOpenRecall(state, entry)) return refuseOverdue(state, entry);
     postponeOverdue(state, entry);
   });
-  if (overdue.length > 0) starting.dispatchQueue(state);
+  if (overdue.length > 0) dispatching.dispatchQueue(state);
 }
 
 /**
@@ -115,10 +119,11 @@
   entry: queue.QueuedRequest,
 ): boolean {
   const { request } = entry;
-  const isGrantFresh = state.now - state.grantAsOf <= constants.GRANT_VALID_MS;
+  const isGrantFresh =
+    state.now - state.grantDemandAt <= constants.GRANT_VALID_MS;
   const pools = hostState.listPoolsFor(state, request);
   return isGrantFresh && entry.postponements < constants.MAX_POSTPONED &&
-    admission.hasLowerWork(request.tier, pools);
+    admissionEstimates.hasLowerTierWorkElsewhere(request.tier, pools);
 }
 
 function refuseOverdue(
--- a/packages/core/dispatcher.ts
+++ b/packages/core/dispatcher.ts
@@ -4,18 +4,18 @@
  * time and random numbers from its caller, so that the daemon, the fuzzer and
  * the benchmark run the same code.
  */
-import * as ending from "./ending.ts";
+import * as attemptEnd from "./attempt_end.ts";
 import type * as engineDivision from "./engine_division.ts";
 import type * as events from "./events.ts";
 import * as grants from "./grants.ts";
 import * as hostState from "./host_state.ts";
-import * as intake from "./intake.ts";
+import * as admissionControl from "./admission_control.ts";
 import * as progress from "./progress.ts";
 import type * as queue from "./queue.ts";
 import type * as serverState from "./server_state.ts";
 import * as overflow from "./overflow.ts";
-import * as starting from "./starting.ts";
-import * as yielding from "./yielding.ts";
+import * as dispatching from "./dispatching.ts";
+import * as deadlineChecks from "./deadline_checks.ts";
 
 /** Admits, queues, routes and retries the requests of one host. */
 export class Dispatcher {
@@ -61,7 +61,7 @@
     running.list().forEach(({ request: { target, className } }) =>
       add(target, className, 1)
     );
-    queue.listWaiting().forEach((lane) =>
+    queue.listNonEmptyLanes().forEach((lane) =>
       add(lane.target, lane.className, lane.size)
     );
     return counts;
@@ -73,7 +73,7 @@
   }
 
   /** Counts the prompt tokens of this host that each engine has not prefilled yet, to share with other hosts. */
-  countPrompting(): Record<string, number> {
+  countPendingPrefill(): Record<string, number> {
     return this.#listByEngine(({ prompting }) => prompting);
   }
 
@@ -97,7 +97,7 @@
     return {
       servers: table.listServers(),
       pools: table.listPools(),
-      lanes: queue.listWaiting(),
+      lanes: queue.listNonEmptyLanes(),
     };
   }
 
@@ -108,7 +108,7 @@
 
   /** Lists this host's demand for each pool of its failure domain. */
   listDemand(): events.PoolDemand[] {
-    const lanes = this.#state.queue.listWaiting();
+    const lanes = this.#state.queue.listNonEmptyLanes();
     return hostState.listOwnPools(this.#state).map((pool) => ({
       pool: pool.part.name,
       classes: listClassDemand(this.#state, { pool, lanes }),
@@ -123,34 +123,34 @@
 ): void {
   switch (event.kind) {
     case "arrived":
-      return intake.admitRequest(state, event.request);
+      return admissionControl.admitRequest(state, event.request);
     case "cancelled":
-      return ending.cancelRequest(state, event.requestId);
+      return attemptEnd.cancelRequest(state, event.requestId);
     case "progressed":
       return progress.recordProgress(state, event);
     case "finished":
-      return ending.finishAttempt(state, event);
+      return attemptEnd.finishAttempt(state, event);
     case "failed":
-      return ending.failAttempt(state, event);
+      return attemptEnd.failAttempt(state, event);
     case "load_reported":
       state.table.recordReport(event.report);
-      return starting.dispatchQueue(
+      return dispatching.dispatchQueue(
         state,
         state.table.get(event.report.server)?.pool.targets ?? [],
       );
     case "load_shared":
       state.table.recordAllElsewhere(event, event.asOf);
       state.coldTurns.setHosts(event.hosts);
-      return starting.dispatchQueue(state);
+      return dispatching.dispatchQueue(state);
     case "servers_changed":
       state.table.setServers(event.servers, state.now);
-      return starting.dispatchQueue(state);
+      return dispatching.dispatchQueue(state);
     case "hosts_changed":
       return state.table.setHosts(event.hosts);
     case "configured":
       state.classes = event.configuration.classes;
       state.table.setPools(event.configuration.pools);
-      return starting.dispatchQueue(state);
+      return dispatching.dispatchQueue(state);
     case "granted":
       return grants.setGrants(state, event);
     case "grants_lost":
@@ -159,19 +159,19 @@
       return grants.setOverflow(state, event);
     case "suspected":
       event.marks.forEach((mark) => state.suspects.addForeign(mark, state.now));
-      return ending.separateSuspects(state, event.marks);
+      return attemptEnd.separateSuspects(state, event.marks);
     case "cleared":
       event.fingerprints.forEach((fingerprint) =>
         state.suspects.clear(fingerprint)
       );
       return;
     case "key_withdrawn":
-      return ending.withdrawKey(state, event.keyId);
+      return attemptEnd.withdrawKey(state, event.keyId);
     case "draining":
       state.draining = true;
       return;
     case "ticked":
-      return yielding.handleTick(state);
+      return deadlineChecks.handleTick(state);
   }
 }
 
--- a/packages/core/starting.ts
+++ b/packages/core/dispatching.ts
@@ -1,5 +1,5 @@
 /** Dispatching: which queued request starts next, and at which backend server. */
-import * as admission from "./admission.ts";
+import * as admissionEstimates from "./admission_estimates.ts";
 import * as constants from "./constants.ts";
 import * as hostState from "./host_state.ts";
 import type * as queue from "./queue.ts";
@@ -21,8 +21,8 @@
 ): void {
   if (state.queue.size === 0) return;
   const waiting = targets === undefined
-    ? state.queue.listWaiting()
-    : state.queue.listWaitingFor(targets);
+    ? state.queue.listNonEmptyLanes()
+    : state.queue.listNonEmptyLanesFor(targets);
   const fullTargets = new Set<string>();
   state.credits.order(waiting).forEach((lane) => {
     // Once a target has no room, its remaining lanes skip the scan of its servers.
@@ -75,10 +75,10 @@
     avoid: queued.avoid,
     turn: state.credits.hasTurn(lane),
     guaranteedSlots: (pool) =>
-      admission.countGuaranteedSlots(share, pool.totalSlots),
+      admissionEstimates.countGuaranteedSlots(share, pool.totalSlots),
     // A suspect request is not sent to other failure domains, where it could
     // crash further servers.
-    overflow: !queued.suspect && (hostState.isLate(state, request) ||
+    overflow: !queued.suspect && (hostState.isPreemptionDue(state, request) ||
       hostState.countOwnSlots(state, request) === 0),
   });
 }
@@ -95,7 +95,7 @@
   const queued = state.queue.take(lane, cost) as queue.QueuedRequest;
   state.credits.recordStart(lane, {
     cost,
-    waiting: state.queue.listWaitingFor([lane.target]),
+    waiting: state.queue.listNonEmptyLanesFor([lane.target]),
     classes: state.classes,
   });
   state.table.recordStart(server, queued.request);
--- a/packages/core/fairness.ts
+++ b/packages/core/fairness.ts
@@ -32,7 +32,7 @@
     return lanes.toSorted((a, b) => {
       const byCredit = Number(this.hasTurn(b)) - Number(this.hasTurn(a));
       if (byCredit !== 0) return byCredit;
-      const byLateness = Number(a.late) - Number(b.late);
+      const byLateness = Number(a.missedTarget) - Number(b.missedTarget);
       return a.tier - b.tier || byLateness || compareArrival(a, b);
     });
   }
--- a/packages/core/grants.ts
+++ b/packages/core/grants.ts
@@ -1,11 +1,11 @@
 /** Applies slot grants of the capacity leaders and preempts requests beyond them. */
 import type * as attempts from "./attempts.ts";
-import * as ending from "./ending.ts";
+import * as attemptEnd from "./attempt_end.ts";
 import type * as events from "./events.ts";
 import * as hostState from "./host_state.ts";
 import * as overflow from "./overflow.ts";
 import type * as serverState from "./server_state.ts";
-import * as starting from "./starting.ts";
+import * as dispatching from "./dispatching.ts";
 
 /**
  * Applies grants of this failure domain and preempts requests beyond them.
@@ -17,7 +17,7 @@
   state: hostState.HostState,
   event: Extract<events.DispatchEvent, { kind: "granted" }>,
 ): void {
-  state.grantAsOf = event.asOf;
+  state.grantDemandAt = event.asOf;
   const grants = new Map(event.grants.map((grant) => [grant.pool, grant]));
   state.table.listPools().forEach((pool) => {
     const grant = grants.get(pool.part.name);
@@ -27,7 +27,7 @@
     state.table.recordElsewhere(grant.runningElsewhere, event.asOf);
   });
   preemptOverLimit(state);
-  starting.dispatchQueue(state);
+  dispatching.dispatchQueue(state);
 }
 
 function setGrant(pool: serverState.PoolState, grant: events.PoolGrant): void {
@@ -62,13 +62,13 @@
       state.table.recordElsewhere(grant.runningElsewhere, event.asOf);
     });
   preemptOverLimit(state);
-  starting.dispatchQueue(state);
+  dispatching.dispatchQueue(state);
   refuseUnservable(state);
 }
 
 /** Refuses queued requests that no failure domain can serve. */
 function refuseUnservable(state: hostState.HostState): void {
-  const unservable = state.queue.listWaiting().filter((lane) => {
+  const unservable = state.queue.listNonEmptyLanes().filter((lane) => {
     const head = lane.peek()?.request;
     return head !== undefined && !overflow.hasNear(state, head) &&
       !overflow.mayOverflow(state, head);
@@ -105,7 +105,7 @@
 export function dropGrants(state: hostState.HostState): void {
   hostState.listOwnPools(state)
     .forEach((pool) => setGrant(pool, buildEmptyGrant(pool)));
-  starting.dispatchQueue(state);
+  dispatching.dispatchQueue(state);
 }
 
 /** Preempts requests beyond the limit of their class where a higher tier waits on another host. */
@@ -119,7 +119,7 @@
         .forEach((attempt) => {
           // Each preemption may already bring the class within its limit.
           if (exceedsLimit(pool, attempt.request.className)) {
-            ending.preemptAttempt(state, attempt);
+            attemptEnd.preemptAttempt(state, attempt);
           }
         })
     );
--- a/packages/core/host_state.ts
+++ b/packages/core/host_state.ts
@@ -1,6 +1,6 @@
 /** The dispatcher's state at one host, and queries on it. */
 import type * as utils from "@banyangrade/utils";
-import type * as admission from "./admission.ts";
+import type * as admissionEstimates from "./admission_estimates.ts";
 import * as attempts from "./attempts.ts";
 import * as coldTurns from "./cold_turns.ts";
 import type * as config from "./config.ts";
@@ -9,7 +9,7 @@
 import * as engineChoice from "./engine_choice.ts";
 import type * as events from "./events.ts";
 import * as fairness from "./fairness.ts";
-import * as lengths from "./lengths.ts";
+import * as lengths from "./length_estimates.ts";
 import * as pauses from "./pauses.ts";
 import * as preemption from "./preemption.ts";
 import * as quarantine from "./quarantine.ts";
@@ -49,7 +49,7 @@
   effects: events.DispatchEffect[];
   classes: ReadonlyMap<string, config.ClassPart>;
   /** When this host sent the demand on which its grants are based, monotonic ms. */
-  grantAsOf: number;
+  grantDemandAt: number;
   draining: boolean;
   readonly preempts: boolean;
   readonly leastRetryMs: number;
@@ -87,7 +87,7 @@
     now: 0,
     effects: [],
     classes: new Map(),
-    grantAsOf: Number.NEGATIVE_INFINITY,
+    grantDemandAt: Number.NEGATIVE_INFINITY,
     draining: false,
     preempts: options.preempts ?? true,
     leastRetryMs: options.leastRetryMs ?? constants.RETRY_AFTER_MIN_MS,
@@ -147,7 +147,10 @@
  * @example
  * isLate(state, request);
  */
-export function isLate(state: HostState, request: request.Request): boolean {
+export function isPreemptionDue(
+  state: HostState,
+  request: request.Request,
+): boolean {
   const maxDelayMs = Math.min(
     constants.PREEMPT_AT_SLACK * (request.startBy - request.arrivedAt),
     constants.PREEMPT_AT_TARGET * request.targetMs,
@@ -175,7 +178,7 @@
  */
 export function listPoolsFor(
   state: HostState,
-  selector: admission.PoolSelector,
+  selector: admissionEstimates.PoolSelector,
 ): serverState.PoolState[] {
   return listOwnPools(state).filter((pool) => isServedBy(selector, pool));
 }
@@ -207,7 +210,7 @@
  */
 export function countOwnSlots(
   state: HostState,
-  selector: admission.PoolSelector,
+  selector: admissionEstimates.PoolSelector,
 ): number {
   return listPoolsFor(state, selector)
     .reduce((sum, pool) => sum + pool.totalSlots, 0);
@@ -220,7 +223,7 @@
  * isServedBy(lane, pool);
  */
 export function isServedBy(
-  selector: admission.PoolSelector,
+  selector: admissionEstimates.PoolSelector,
   pool: serverState.PoolState,
 ): boolean {
   return pool.part.targets.includes(selector.target) &&
--- a/packages/core/mod.ts
+++ b/packages/core/mod.ts
@@ -1,5 +1,5 @@
 /** The decision logic of hosts: free of I/O, and shared by the daemon, the fuzz tests and the benchmark. */
-export * from "./admission.ts";
+export * from "./admission_estimates.ts";
 export * from "./allocation.ts";
 export * from "./billing.ts";
 export * from "./cold_starts.ts";
--- a/packages/core/overflow.ts
+++ b/packages/core/overflow.ts
@@ -5,7 +5,7 @@
  * runs only as many requests there as were granted, so slots are divided tier by
  * tier as between the hosts of one failure domain.
  */
-import * as admission from "./admission.ts";
+import * as admissionEstimates from "./admission_estimates.ts";
 import * as constants from "./constants.ts";
 import type * as events from "./events.ts";
 import * as hostState from "./host_state.ts";
@@ -48,13 +48,13 @@
 
 /** Lists lanes that cannot start in time, with nothing to preempt in this failure domain. */
 function listBlockedLanes(state: hostState.HostState): queue.Lane[] {
-  return state.queue.listWaiting().filter((lane) => {
+  return state.queue.listNonEmptyLanes().filter((lane) => {
     const head = lane.peek()?.request;
     if (head === undefined) return false;
     if (hostState.countOwnSlots(state, head) === 0) return true;
     const pools = hostState.listPoolsFor(state, head);
-    return hostState.isLate(state, head) &&
-      !admission.hasLowerWork(head.tier, pools) &&
+    return hostState.isPreemptionDue(state, head) &&
+      !admissionEstimates.hasLowerTierWorkElsewhere(head.tier, pools) &&
       hostState.findVictim(state, head) === undefined;
   });
 }
--- a/packages/core/preemption.ts
+++ b/packages/core/preemption.ts
@@ -1,5 +1,5 @@
 /** Choice of the running attempt that is preempted for a higher tier. */
-import * as admission from "./admission.ts";
+import * as admissionEstimates from "./admission_estimates.ts";
 import type * as attempts from "./attempts.ts";
 import type * as config from "./config.ts";
 import type * as serverState from "./server_state.ts";
@@ -61,7 +61,10 @@
   const running = pool.runningByClass.get(className) ?? 0;
   // The guarantee covers the failure domain; the limit granted to this host is
   // its part of it.
-  const guaranteed = admission.countGuaranteedSlots(share, pool.totalSlots);
+  const guaranteed = admissionEstimates.countGuaranteedSlots(
+    share,
+    pool.totalSlots,
+  );
   const limit = pool.limits.get(className) ?? Number.POSITIVE_INFINITY;
   return running > Math.min(guaranteed, limit);
 }
--- a/packages/core/queue.ts
+++ b/packages/core/queue.ts
@@ -20,7 +20,7 @@
   /** Whether a server was lost while it ran a request with the same fingerprint. */
   readonly suspect: boolean;
   /** Whether it has already missed its class's latency target. */
-  readonly late: boolean;
+  readonly missedTarget: boolean;
   /** Whether it is queued ahead of its customer's other requests, because it waited before. */
   readonly atFront: boolean;
   /** Times its refusal was postponed because lower-tier work still ran. */
@@ -43,7 +43,7 @@
   readonly target: string;
   readonly pools: readonly string[];
   /** Whether its requests have already missed their latency target. */
-  readonly late: boolean;
+  readonly missedTarget: boolean;
   readonly #waiting = new Map<string, QueuedRequest[]>();
   readonly #virtualTimes = new Map<string, number>();
   readonly #schedule = new tinyqueue.default<ScheduledCustomer>(
@@ -59,7 +59,7 @@
     this.tier = first.request.tier;
     this.target = first.request.target;
     this.pools = first.request.pools;
-    this.late = first.late;
+    this.missedTarget = first.missedTarget;
   }
 
   get size(): number {
@@ -229,7 +229,7 @@
     // run one at a time and must not block requests of other fingerprints.
     const base = request.getLaneKey(queued.request);
     const suspect = queued.suspect ? "|suspect" : "";
-    const key = `${base}${suspect}${queued.late ? "|late" : ""}`;
+    const key = `${base}${suspect}${queued.missedTarget ? "|late" : ""}`;
     let lane = this.#lanes.get(key);
     if (lane === undefined) {
       lane = new Lane(key, queued);
@@ -268,7 +268,7 @@
   removeOverdue(
     isOverdue: (queued: QueuedRequest) => boolean,
   ): QueuedRequest[] {
-    const removed = this.listWaiting()
+    const removed = this.listNonEmptyLanes()
       .flatMap((lane) => lane.removeOverdue(isOverdue));
     this.#size -= removed.length;
     return removed;
@@ -276,7 +276,7 @@
 
   /** Removes the newest request of the lowest tier that is lower than `tier`. */
   removeLowestTier(tier: number): QueuedRequest | undefined {
-    const lowest = this.listWaiting()
+    const lowest = this.listNonEmptyLanes()
       .filter((lane) => lane.tier > tier)
       .toSorted((a, b) => b.tier - a.tier)[0];
     const removed = lowest?.removeNewest();
@@ -285,13 +285,13 @@
   }
 
   /** Lists the non-empty lanes of some targets. */
-  listWaitingFor(targets: readonly string[]): Lane[] {
+  listNonEmptyLanesFor(targets: readonly string[]): Lane[] {
     return targets.flatMap((target) => this.#byTarget.get(target) ?? [])
       .filter((lane) => lane.size > 0);
   }
 
   /** Lists the non-empty lanes, the highest tier first. */
-  listWaiting(): Lane[] {
+  listNonEmptyLanes(): Lane[] {
     return [...this.#lanes.values()]
       .filter((lane) => lane.size > 0)
       .toSorted((a, b) => a.tier - b.tier);
--- a/packages/core/refusals.ts
+++ b/packages/core/refusals.ts
@@ -1,5 +1,5 @@
 /** Builds refusals, with a default message for each code. */
-import * as admission from "./admission.ts";
+import * as admissionEstimates from "./admission_estimates.ts";
 import type * as request from "./request.ts";
 
 /** Default messages to the caller. */
@@ -63,7 +63,7 @@
   if (reason.waitMs === undefined) return refusal;
   return {
     ...refusal,
-    retryAfterMs: admission.computeRetryAfter(
+    retryAfterMs: admissionEstimates.computeRetryAfter(
       reason.waitMs,
       reason.leastRetryMs,
     ),
--- a/packages/core/request.ts
+++ b/packages/core/request.ts
@@ -69,7 +69,7 @@
   /** Maximum number of attempts that are sent to a server. @default constants.MAX_ATTEMPTS */
   readonly maxAttempts?: number;
   /** Failure domains in which it may run. @default any */
-  readonly homes?: readonly string[];
+  readonly allowedDomains?: readonly string[];
 }
 
 /**
@@ -80,7 +80,9 @@
  * getLaneKey(request); // "counter|1|status|"
  */
 export function getLaneKey(request: Request): string {
-  const { className, tier, target, pools, homes } = request;
+  const { className, tier, target, pools, allowedDomains } = request;
   const lane = `${className}|${tier}|${target}|${pools.join(",")}`;
-  return homes === undefined ? lane : `${lane}|${homes.join(",")}`;
+  return allowedDomains === undefined
+    ? lane
+    : `${lane}|${allowedDomains.join(",")}`;
 }
--- a/packages/core/server_state.ts
+++ b/packages/core/server_state.ts
@@ -209,10 +209,10 @@
  */
 export function mayRunAt(
   { info: { failureDomain } }: ServerState,
-  { homes }: Pick<request.Request, "homes">,
+  { allowedDomains }: Pick<request.Request, "allowedDomains">,
 ): boolean {
-  if (homes === undefined) return true;
-  return failureDomain !== undefined && homes.includes(failureDomain);
+  if (allowedDomains === undefined) return true;
+  return failureDomain !== undefined && allowedDomains.includes(failureDomain);
 }
 
 /**
--- a/scripts/mutations.ts
+++ b/scripts/mutations.ts
@@ -62,7 +62,7 @@
   },
   {
     name: "overflow: a suspect is sent to other failure domains",
-    file: "packages/core/starting.ts",
+    file: "packages/core/dispatching.ts",
     find: "overflow: !queued.suspect &&",
     replace: "overflow: true &&",
     test: DISPATCHER,
@@ -167,22 +167,22 @@
   },
   {
     name: "dispatcher: an overdue request is refused before it preempts",
-    file: "packages/core/yielding.ts",
+    file: "packages/core/deadline_checks.ts",
     find:
-      "if (victim !== undefined) ending.preemptAttempt(state, victim);\n    else if",
+      "if (victim !== undefined) attemptEnd.preemptAttempt(state, victim);\n    else if",
     replace: "if (hasOpenRecall(state, entry)) return;\n    else if",
     test: "packages/core/dispatcher_test.ts",
   },
   {
     name: "dispatcher: a higher tier is shed while lower work runs",
-    file: "packages/core/intake.ts",
+    file: "packages/core/admission_control.ts",
     find: "if (!isFull && hasPreemptibleWork(state, { request, pools })) {",
     replace: "if (!isFull && pools.length < 0) {",
     test: DISPATCHER,
   },
   {
     name: "dispatcher: a withdrawn key's queue is kept",
-    file: "packages/core/ending.ts",
+    file: "packages/core/attempt_end.ts",
     find:
       "entry.request.keyId === keyId)\n    .forEach((entry) =>\n      hostState.refuse",
     replace:
@@ -191,7 +191,7 @@
   },
   {
     name: "dispatcher: a poison request is tried a third time",
-    file: "packages/core/ending.ts",
+    file: "packages/core/attempt_end.ts",
     find:
       "if (state.suspects.isPoison(request.fingerprint)) {\n    const poison",
     replace: 'if (request.fingerprint === "") {\n    const poison',
@@ -207,7 +207,7 @@
   },
   {
     name: "dispatcher: a poison request is admitted again",
-    file: "packages/core/intake.ts",
+    file: "packages/core/admission_control.ts",
     find:
       "if (state.suspects.isPoison(request.fingerprint)) {\n    return { code",
     replace: 'if (request.fingerprint === "") {\n    return { code',
@@ -215,7 +215,7 @@
   },
   {
     name: "dispatcher: copies of a suspect run side by side",
-    file: "packages/core/starting.ts",
+    file: "packages/core/dispatching.ts",
     find: "if (queued.suspect && state",
     replace: 'if (queued.request.id === "" && state',
     test: DISPATCHER,
