--- a/bench/simulation.ts
+++ b/bench/simulation.ts
@@ -307,9 +307,9 @@
       const { now } = this.#timeline;
       const allocator = this.#getAllocator(failureDomain);
       const capacities = this.#listCapacities(failureDomain);
-      allocator.setDemand(name, { demands, now, visiting: true });
+      allocator.setDemand(name, { demands, now, remote: true });
       const grants = allocator.allocate(capacities, now).get(name) ?? [];
-      const servers = allocator.listLent(name, capacities);
+      const servers = allocator.listLentServers(name, capacities);
       const kind = "overflow_granted";
       this.#timeline.after(
         VISIT_HOPS * MESSAGE_MS,
--- a/packages/banyangrade/accepted.ts
+++ b/packages/banyangrade/accepted.ts
@@ -46,7 +46,7 @@
   },
 ): void {
   const keyed = caller.isKeyedCall(head);
-  const said = keyed ? core.clearUnproven(refusal) : refusal;
+  const said = keyed ? core.markRanUnknown(refusal) : refusal;
   refuseHead(context, { head, refusal: said });
 }
 
--- a/packages/banyangrade/capacity_task.ts
+++ b/packages/banyangrade/capacity_task.ts
@@ -93,7 +93,7 @@
     const { host, demands, visitor } = message;
     const visiting = visitor !== undefined;
     if (visiting) this.#visitors.set(host, visitor);
-    this.#allocator.setDemand(host, { demands, now, visiting });
+    this.#allocator.setDemand(host, { demands, now, remote: visiting });
     if (!this.#isLeader()) return undefined;
     this.#leaderSince = Math.min(this.#leaderSince, now);
     // A new leader does not know what the others are running yet.
@@ -112,7 +112,7 @@
       failureDomain: this.#options.failureDomain,
       grants,
       servers: this.#visitors.has(host)
-        ? this.#allocator.listLent(host, this.#listCapacities())
+        ? this.#allocator.listLentServers(host, this.#listCapacities())
         : [],
     };
   }
--- a/packages/banyangrade/orders_round_test.ts
+++ b/packages/banyangrade/orders_round_test.ts
@@ -11,7 +11,7 @@
 const SERVICE: core.RoutedService = {
   name: "planner",
   connectionLimit: 100,
-  engine: { slots: 32, memoryTokens: 100_000 },
+  engine: { slots: 32, kvCacheTokens: 100_000 },
   scaling: {
     minServers: 1,
     maxServers: 8,
--- a/packages/banyangrade/routed/attempt_message.ts
+++ b/packages/banyangrade/routed/attempt_message.ts
@@ -84,11 +84,11 @@
   }
   const headTimeoutMs = Math.max(
     MIN_HEAD_TIMEOUT_MS,
-    HEAD_TIMEOUT_FACTOR * route.targetMs,
+    HEAD_TIMEOUT_FACTOR * route.targetLatencyMs,
   );
   const gapTimeoutMs = Math.max(
     MIN_GAP_TIMEOUT_MS,
-    GAP_TIMEOUT_FACTOR * route.betweenMs,
+    GAP_TIMEOUT_FACTOR * route.targetGapMs,
   );
   return {
     headMs: Math.min(remainingMs, headTimeoutMs),
--- a/packages/banyangrade/routed/exchange_record.ts
+++ b/packages/banyangrade/routed/exchange_record.ts
@@ -149,7 +149,7 @@
       firstTokenMs,
       totalMs: now - request.arrivedAt,
       betweenTokensMs,
-      withinTarget: firstTokenMs <= route.targetMs,
+      withinTarget: firstTokenMs <= route.targetLatencyMs,
     });
     this.recordEnd("Request answered.", { firstMs: Math.round(firstTokenMs) });
   }
--- a/packages/banyangrade/routed/routed_exchange.ts
+++ b/packages/banyangrade/routed/routed_exchange.ts
@@ -261,7 +261,7 @@
       step: "exchange.start",
       peer: "store",
       waitMs: isRetryable ? MIN_RETRY_MS : undefined,
-      leastRetryMs: MIN_RETRY_MS,
+      minRetryAfterMs: MIN_RETRY_MS,
     }));
   }
 
--- a/packages/banyangrade/routed/routed_front.ts
+++ b/packages/banyangrade/routed/routed_front.ts
@@ -37,7 +37,7 @@
   readonly head: ports.RequestHead & { readonly requestId: string };
   readonly table: core.RouteTable;
   readonly route: core.Route;
-  readonly grant: core.RoutedGrant | undefined;
+  readonly grant: core.CustomerIdentity | undefined;
 }
 
 /** Handles callers' requests. */
@@ -70,7 +70,7 @@
         ran: "no",
         step: "caller.admit",
         waitMs: DRAINING_RETRY_MS,
-        leastRetryMs: DRAINING_RETRY_MS,
+        minRetryAfterMs: DRAINING_RETRY_MS,
       }));
     }
     const table = belief.getTable();
@@ -180,7 +180,7 @@
     const { head, route, grant, arrivedAt, incoming } = admitted;
     const customer = grant?.customer ?? "";
     const queueMs = Math.min(
-      route.targetMs,
+      route.targetLatencyMs,
       QUEUE_SHARE * getTimeoutMs(admitted),
     );
     return {
@@ -205,15 +205,15 @@
       repeatable: core.isRepeatable(route),
       arrivedAt,
       startBy: arrivedAt + queueMs,
-      targetMs: route.targetMs,
-      targetBetweenMs: route.betweenMs > 0
-        ? route.betweenMs
+      targetMs: route.targetLatencyMs,
+      targetBetweenMs: route.targetGapMs > 0
+        ? route.targetGapMs
         : Number.POSITIVE_INFINITY,
       weight: 1,
       maxAttempts: route.maxAttempts,
-      allowedDomains: core.listHomes({
+      allowedDomains: core.listAllowedDomains({
         route,
-        grant,
+        customer: grant,
         regions: this.#options.regions,
       }),
     };
@@ -276,7 +276,7 @@
     step: "caller.admit",
     peer: "store",
     waitMs: STALE_STORE_RETRY_MS,
-    leastRetryMs: STALE_STORE_RETRY_MS,
+    minRetryAfterMs: STALE_STORE_RETRY_MS,
     message:
       `This host could not confirm its ${what} with the store recently; retry, preferably on another host.`,
   });
--- a/packages/banyangrade/routed/routed_parts.ts
+++ b/packages/banyangrade/routed/routed_parts.ts
@@ -135,7 +135,7 @@
       random,
       budget,
       preempts: false,
-      leastRetryMs: routedExchange.MIN_RETRY_MS,
+      minRetryAfterMs: routedExchange.MIN_RETRY_MS,
       suspects: SUSPECT_OPTIONS,
       comparesPrompts: true,
       isConnected: (server) => draft.pools.hasIdleConnection(server),
--- a/packages/caller/server.ts
+++ b/packages/caller/server.ts
@@ -222,7 +222,7 @@
   });
   if (typeof body === "string") {
     const refusal = buildParseRefusal(body);
-    answer.refuse(isKeyedCall(head) ? core.clearUnproven(refusal) : refusal);
+    answer.refuse(isKeyedCall(head) ? core.markRanUnknown(refusal) : refusal);
     return dropRest();
   }
   options.onRequest({ ...head, body });
--- a/packages/core/admission_control.ts
+++ b/packages/core/admission_control.ts
@@ -52,7 +52,7 @@
   }
   const holdMs = state.suspects.getHold(request.fingerprint, state.now);
   if (holdMs > 0) return { code: "poison_request", waitMs: holdMs };
-  const isServed = overflow.hasNear(state, request) ||
+  const isServed = overflow.hasLocalServer(state, request) ||
     overflow.mayOverflow(state, request);
   if (!isServed || !hasEligibleServer(state, request)) {
     return { code: "no_capacity", waitMs: Number.POSITIVE_INFINITY };
--- a/packages/core/allocation.ts
+++ b/packages/core/allocation.ts
@@ -70,11 +70,11 @@
   /** Replaces the demand of a host. */
   setDemand(
     host: string,
-    { demands, now, visiting = false }: {
+    { demands, now, remote: visiting = false }: {
       readonly demands: readonly events.PoolDemand[];
       readonly now: number;
       /** Whether the host belongs to another failure domain. @default false */
-      readonly visiting?: boolean;
+      readonly remote?: boolean;
     },
   ): void {
     this.#demands.set(host, {
@@ -95,7 +95,7 @@
    * Selects backend servers to lend to a host of another failure domain: the
    * least loaded ones of each pool that the host demands.
    */
-  listLent(
+  listLentServers(
     host: string,
     capacities: readonly PoolCapacity[],
   ): events.ServerInfo[] {
--- a/packages/core/allowed_domains_fuzz_test.ts
+++ b/packages/core/allowed_domains_fuzz_test.ts
@@ -11,9 +11,9 @@
 
 tap.test("the allowed regions are those that route and customer have in common", (t) => {
   const list = (route?: string[], customer?: string[]) =>
-    core.listHomes({
+    core.listAllowedDomains({
       route: { regions: route },
-      grant: { regions: customer },
+      customer: { regions: customer },
       regions: REGIONS,
     });
   t.equal(list(), undefined);
--- a/packages/core/dispatching.ts
+++ b/packages/core/dispatching.ts
@@ -73,7 +73,7 @@
     now: state.now,
     suspect: queued.suspect,
     avoid: queued.avoid,
-    turn: state.credits.hasTurn(lane),
+    hasCredit: state.credits.hasCredit(lane),
     guaranteedSlots: (pool) =>
       admissionEstimates.countGuaranteedSlots(share, pool.totalSlots),
     // A suspect request is not sent to other failure domains, where it could
--- a/packages/core/domain_silence.ts
+++ b/packages/core/domain_silence.ts
@@ -71,7 +71,7 @@
   );
   servers.filter((server) => isInside(server) && outside.has(server.info.pool))
     .forEach((server) =>
-      serverState.abandonServer(
+      serverState.ejectUnreachableServer(
         server,
         Math.max(server.ejectedUntil, now + constants.EJECT_MS),
       )
--- a/packages/core/fairness.ts
+++ b/packages/core/fairness.ts
@@ -30,7 +30,7 @@
    */
   order(lanes: readonly queue.Lane[]): queue.Lane[] {
     return lanes.toSorted((a, b) => {
-      const byCredit = Number(this.hasTurn(b)) - Number(this.hasTurn(a));
+      const byCredit = Number(this.hasCredit(b)) - Number(this.hasCredit(a));
       if (byCredit !== 0) return byCredit;
       const byLateness = Number(a.missedTarget) - Number(b.missedTarget);
       return a.tier - b.tier || byLateness || compareArrival(a, b);
@@ -38,7 +38,7 @@
   }
 
   /** Whether the class of a lane has enough credit to go first. */
-  hasTurn(lane: queue.Lane): boolean {
+  hasCredit(lane: queue.Lane): boolean {
     const own = this.#targets.get(lane.target);
     return own !== undefined &&
       (own.credits.get(lane.className) ?? 0) >= own.meanCost;
--- a/packages/core/grants.ts
+++ b/packages/core/grants.ts
@@ -70,7 +70,7 @@
 function refuseUnservable(state: hostState.HostState): void {
   const unservable = state.queue.listNonEmptyLanes().filter((lane) => {
     const head = lane.peek()?.request;
-    return head !== undefined && !overflow.hasNear(state, head) &&
+    return head !== undefined && !overflow.hasLocalServer(state, head) &&
       !overflow.mayOverflow(state, head);
   });
   unservable.flatMap((lane) => state.queue.removeAll(lane)).forEach((entry) =>
--- a/packages/core/host_state.ts
+++ b/packages/core/host_state.ts
@@ -33,7 +33,7 @@
   /** Whether this host preempts running work; false where the engines do it themselves. @default true */
   readonly preempts?: boolean;
   /** Shortest Retry-After time of a refusal, in ms. @default constants.RETRY_AFTER_MIN_MS */
-  readonly leastRetryMs?: number;
+  readonly minRetryAfterMs?: number;
   /** Whether engines are chosen by their pending prefill tokens, for hosts without grants. @default false */
   readonly comparesPrompts?: boolean;
   readonly suspects?: quarantine.SuspectOptions;
@@ -52,7 +52,7 @@
   grantDemandAt: number;
   draining: boolean;
   readonly preempts: boolean;
-  readonly leastRetryMs: number;
+  readonly minRetryAfterMs: number;
   readonly failureDomain: string;
   readonly table: servers.ServerTable;
   readonly queue: queue.RequestQueue;
@@ -90,7 +90,7 @@
     grantDemandAt: Number.NEGATIVE_INFINITY,
     draining: false,
     preempts: options.preempts ?? true,
-    leastRetryMs: options.leastRetryMs ?? constants.RETRY_AFTER_MIN_MS,
+    minRetryAfterMs: options.minRetryAfterMs ?? constants.RETRY_AFTER_MIN_MS,
     failureDomain: options.failureDomain,
     table,
     queue: new queue.RequestQueue(),
@@ -124,7 +124,7 @@
     kind: "refuse",
     requestId: refused.id,
     refusal: refusals.buildRefusal({
-      leastRetryMs: state.leastRetryMs,
+      minRetryAfterMs: state.minRetryAfterMs,
       ...reason,
     }),
   });
--- a/packages/core/overflow.ts
+++ b/packages/core/overflow.ts
@@ -93,14 +93,14 @@
  */
 export function mayOverflow(
   state: hostState.HostState,
-  wanted: request.Request,
+  request: request.Request,
 ): boolean {
   const { now } = state;
   return state.table.listPools().some((pool) => {
-    if (!pool.remote || !hostState.isServedBy(wanted, pool)) return false;
+    if (!pool.remote || !hostState.isServedBy(request, pool)) return false;
     const isGrantKnown = now - pool.grantedAt < constants.OVERFLOW_KNOWN_MS;
-    return !isGrantKnown || !pool.short.includes(wanted.className) ||
-      serverState.isWithinGrant(pool, { className: wanted.className, now });
+    return !isGrantKnown || !pool.short.includes(request.className) ||
+      serverState.isWithinGrant(pool, { className: request.className, now });
   });
 }
 
@@ -110,10 +110,10 @@
  * @example
  * hasNear(state, request);
  */
-export function hasNear(
+export function hasLocalServer(
   state: hostState.HostState,
-  wanted: request.Request,
+  request: request.Request,
 ): boolean {
-  return state.table.listFor(wanted.target)
+  return state.table.listFor(request.target)
     .some((server) => server.pool.failureDomain === state.failureDomain);
 }
--- a/packages/core/overflow_test.ts
+++ b/packages/core/overflow_test.ts
@@ -182,7 +182,7 @@
   ["h1", "h2", "v1", "v2"].forEach((host) =>
     allocator.setDemand(host, {
       now: 0,
-      visiting: host.startsWith("v"),
+      remote: host.startsWith("v"),
       demands: [{
         pool: "p",
         servers: [],
--- a/packages/core/refusals.ts
+++ b/packages/core/refusals.ts
@@ -37,7 +37,7 @@
   /** Expected time until a retry can succeed, in ms. */
   readonly waitMs?: number;
   /** Minimum delay that the caller is told, in ms. @default constants.RETRY_AFTER_MIN_MS */
-  readonly leastRetryMs?: number;
+  readonly minRetryAfterMs?: number;
   /** Step of the processing that refused the request. @default "dispatch" */
   readonly step?: string;
   /** The peer involved: a backend server, a host or the store. @default "this host" */
@@ -65,7 +65,7 @@
     ...refusal,
     retryAfterMs: admissionEstimates.computeRetryAfter(
       reason.waitMs,
-      reason.leastRetryMs,
+      reason.minRetryAfterMs,
     ),
   };
 }
@@ -85,7 +85,7 @@
  * @example
  * const refusal = clearUnproven(buildKeyRefusal("not_authenticated"));
  */
-export function clearUnproven(refusal: request.Refusal): request.Refusal {
+export function markRanUnknown(refusal: request.Refusal): request.Refusal {
   if (refusal.ran !== "no" || MALFORMED_CODES.has(refusal.code)) return refusal;
   return { ...refusal, ran: "unknown" };
 }
--- a/packages/core/router.ts
+++ b/packages/core/router.ts
@@ -48,7 +48,7 @@
 
 /** Request, time and filter of one scan over the servers. */
 interface SelectionContext {
-  readonly wanted: request.Request;
+  readonly request: request.Request;
   readonly now: number;
   readonly isUsable: (server: serverState.ServerState) => boolean;
 }
@@ -93,49 +93,49 @@
 
   /** Selects a server with room; undefined if there is none. */
   choose(
-    wanted: request.Request,
+    request: request.Request,
     options: RouteOptions,
   ): RouteChoice | undefined {
-    const pools = this.#findUsablePools(wanted, options);
+    const pools = this.#findUsablePools(request, options);
     // Under load most classes have used up their grants. Returning here avoids
     // a scan over all servers.
     if (pools.size === 0) return undefined;
     const poolsWithColdTurn = this.#findColdTurns(pools, options.now);
     const isEligible = (server: serverState.ServerState) =>
-      pools.has(server.info.pool) && serverState.mayRunAt(server, wanted) &&
+      pools.has(server.info.pool) && serverState.mayRunAt(server, request) &&
       serverEligibility.isEligible(server, options) &&
       (!serverState.isCold(server, options.now) ||
         poolsWithColdTurn.has(server.info.pool));
     const isUsable = (server: serverState.ServerState) =>
       server.info.name !== options.avoid && isEligible(server);
-    if (this.#comparesPrompts && wanted.kind === "generate") {
-      const choice = this.#chooseByPrompts(wanted, { options, isUsable });
+    if (this.#comparesPrompts && request.kind === "generate") {
+      const choice = this.#chooseByPrompts(request, { options, isUsable });
       if (choice !== undefined) return choice;
     }
-    const server = this.#chooseUsable(wanted, { options, isUsable }) ??
+    const server = this.#chooseUsable(request, { options, isUsable }) ??
       this.#chooseAvoided(isEligible, options);
     if (server === undefined) return undefined;
-    if (wanted.prefix !== "") {
-      this.#prefixes.set(this.#getPrefixKey(wanted), server.info.name);
+    if (request.prefix !== "") {
+      this.#prefixes.set(this.#getPrefixKey(request), server.info.name);
     }
     return { server };
   }
 
   #chooseUsable(
-    wanted: request.Request,
+    request: request.Request,
     { options, isUsable }: {
       readonly options: RouteOptions;
       readonly isUsable: SelectionContext["isUsable"];
     },
   ): serverState.ServerState | undefined {
     const { now } = options;
-    if (this.#comparesPrompts && wanted.kind === "generate") return undefined;
-    const all = this.#table.listFor(wanted.target);
-    const preferred = this.#table.listPreferredFor(wanted.target);
+    if (this.#comparesPrompts && request.kind === "generate") return undefined;
+    const all = this.#table.listFor(request.target);
+    const preferred = this.#table.listPreferredFor(request.target);
     // A server whose time between tokens exceeds the target of the class would
     // certainly miss it, so the request stays queued for a faster server.
     const probesSlowServers = this.#random.below(constants.PROBE_ONE_IN) === 0;
-    const maxTokenMs = constants.SPEED_MARGIN * wanted.targetBetweenMs;
+    const maxTokenMs = constants.SPEED_MARGIN * request.targetBetweenMs;
     const isFast = (server: serverState.ServerState) =>
       (probesSlowServers || server.tokenMs <= maxTokenMs) && isUsable(server);
     const isLocal = (server: serverState.ServerState) =>
@@ -143,27 +143,31 @@
     const isPreferred = (server: serverState.ServerState) =>
       server.running < server.preferredSlots && isFast(server);
     const local =
-      this.#chooseByPrefix(wanted, { wanted, now, isUsable: isLocal }) ??
-        this.#chooseByLoad(preferred, { wanted, now, isUsable: isPreferred }) ??
-        this.#chooseByLoad(all, { wanted, now, isUsable: isLocal });
+      this.#chooseByPrefix(request, { request, now, isUsable: isLocal }) ??
+        this.#chooseByLoad(preferred, {
+          request,
+          now,
+          isUsable: isPreferred,
+        }) ??
+        this.#chooseByLoad(all, { request, now, isUsable: isLocal });
     if (local !== undefined || !options.overflow) return local;
     // A fast server of another failure domain is preferred over a slow server
     // of this one.
-    return this.#chooseByLoad(all, { wanted, now, isUsable: isFast }) ??
-      this.#chooseByLoad(all, { wanted, now, isUsable });
+    return this.#chooseByLoad(all, { request, now, isUsable: isFast }) ??
+      this.#chooseByLoad(all, { request, now, isUsable });
   }
 
   /** Selects an engine by prompt tokens that await prefill; see {@link engineChoice}. */
   #chooseByPrompts(
-    wanted: request.Request,
+    request: request.Request,
     { options, isUsable }: {
       readonly options: RouteOptions;
       readonly isUsable: SelectionContext["isUsable"];
     },
   ): RouteChoice | undefined {
     const { now } = options;
-    const all = this.#listLive(wanted.target);
-    const live = all.filter((server) => serverState.mayRunAt(server, wanted));
+    const all = this.#listLive(request.target);
+    const live = all.filter((server) => serverState.mayRunAt(server, request));
     const views = live.map((server) => ({
       name: server.info.name,
       failureDomain: server.info.failureDomain,
@@ -178,13 +182,13 @@
       live.filter(isUsable).map((server) => server.info.name),
     );
     const choice = engineChoice.chooseEngine({
-      isShort: this.#prompts.isShort(wanted.className),
-      prefix: wanted.prefix,
-      promptTokens: wanted.promptTokens,
+      isShort: this.#prompts.isShort(request.className),
+      prefix: request.prefix,
+      promptTokens: request.promptTokens,
     }, {
       live: views,
       usable: views.filter((view) => usable.has(view.name)),
-      shortNames: this.#listShortNames(wanted.target, all),
+      shortNames: this.#listShortNames(request.target, all),
       failureDomain: this.#failureDomain,
       random: this.#random,
     });
@@ -219,24 +223,24 @@
 
   /** Finds the pools that may serve the request and whose grant is not used up. */
   #findUsablePools(
-    wanted: request.Request,
+    request: request.Request,
     options: RouteOptions,
   ): ReadonlySet<string> {
     const { now } = options;
-    const { className } = wanted;
-    const usable = this.#table.listPoolsFor(wanted.target).filter((pool) => {
-      const allowed = wanted.pools.length === 0 ||
-        wanted.pools.includes(pool.part.name);
+    const { className } = request;
+    const usable = this.#table.listPoolsFor(request.target).filter((pool) => {
+      const allowed = request.pools.length === 0 ||
+        request.pools.includes(pool.part.name);
       const isReachable = !pool.remote || options.overflow;
       const granted = serverState.isWithinGrant(pool, { className, now }) ||
-        serverEligibility.isWithinGuarantee(pool, { wanted, options });
+        serverEligibility.isWithinGuarantee(pool, { request, options });
       return allowed && isReachable && granted;
     });
     return new Set(usable.map((pool) => pool.part.name));
   }
 
-  #getPrefixKey(wanted: request.Request): string {
-    return `${wanted.target}|${wanted.prefix}`;
+  #getPrefixKey(request: request.Request): string {
+    return `${request.target}|${request.prefix}`;
   }
 
   /**
@@ -245,11 +249,11 @@
    * than its warm cache saves.
    */
   #chooseByPrefix(
-    wanted: request.Request,
+    request: request.Request,
     { now, isUsable }: SelectionContext,
   ): serverState.ServerState | undefined {
-    if (!this.#affinity || wanted.prefix === "") return undefined;
-    const name = this.#prefixes.get(this.#getPrefixKey(wanted));
+    if (!this.#affinity || request.prefix === "") return undefined;
+    const name = this.#prefixes.get(this.#getPrefixKey(request));
     const server = name === undefined ? undefined : this.#table.get(name);
     if (server === undefined || !isUsable(server)) return undefined;
     const pool = this.#table.getPool(server.info.pool);
@@ -294,14 +298,14 @@
   /** Scores a server by relative load times its time between tokens relative to its pool's. */
   #score(
     server: serverState.ServerState,
-    { wanted, now }: SelectionContext,
+    { request, now }: SelectionContext,
   ): number {
     const prompting = server.prompting / constants.PROMPT_TOKENS_PER_LOAD;
     // The prefill of a long prompt delays the tokens of all streams that the
     // server is running.
     const interference = constants.DISTURBANCE *
-      serverEligibility.countHigherTiers(server, wanted.tier) *
-      wanted.promptTokens /
+      serverEligibility.countHigherTiers(server, request.tier) *
+      request.promptTokens /
       constants.PROMPT_TOKENS_PER_LOAD;
     const load =
       (serverState.estimateLoad(server, now) + prompting + interference + 1) /
--- a/packages/core/routes.ts
+++ b/packages/core/routes.ts
@@ -32,9 +32,9 @@
   /** Timeout of a request, in ms. */
   readonly timeoutMs: number;
   /** Target time until the first event or the response, in ms. */
-  readonly targetMs: number;
+  readonly targetLatencyMs: number;
   /** Target time between two events of a stream, in ms; 0 for other routes. */
-  readonly betweenMs: number;
+  readonly targetGapMs: number;
   /** Priority tier; 1 is the highest. */
   readonly tier: number;
   readonly services: readonly WeightedService[];
@@ -53,7 +53,7 @@
   /** Number of requests that one engine runs concurrently. */
   readonly slots: number;
   /** Capacity of its KV cache in tokens. */
-  readonly memoryTokens: number;
+  readonly kvCacheTokens: number;
 }
 
 /** Bounds and prices that govern the scaling of a service. */
@@ -75,7 +75,7 @@
   /** Time after its start for which a server is cold, in ms. */
   readonly startMs: number;
   /** Requests per second that a cold server withstands. */
-  readonly perSecond: number;
+  readonly requestsPerSecond: number;
 }
 
 /** Bound on the request rate to a cold server, relative to the rate it withstands. */
@@ -129,7 +129,7 @@
 }
 
 /** Identity and permissions of the customer that a request's API key belongs to. */
-export interface RoutedGrant {
+export interface CustomerIdentity {
   readonly customer: string;
   readonly tier?: number;
   readonly regions?: readonly string[];
@@ -141,7 +141,7 @@
   /** Routes by host name, the longest prefix first. */
   readonly byHost: ReadonlyMap<string, readonly Route[]>;
   /** Customers by API key. */
-  readonly byKey: ReadonlyMap<string, RoutedGrant>;
+  readonly byKey: ReadonlyMap<string, CustomerIdentity>;
   /** All pairs of a customer tier and a route tier, the highest priority first. */
   readonly tierPairs: readonly TierPair[];
 }
@@ -244,10 +244,10 @@
  * @example
  * listHomes({ route, grant, regions }); // ["rosenheim", "weilheim"]
  */
-export function listHomes(
-  { route, grant, regions }: {
+export function listAllowedDomains(
+  { route, customer: grant, regions }: {
     readonly route: Pick<Route, "regions">;
-    readonly grant: Pick<RoutedGrant, "regions"> | undefined;
+    readonly customer: Pick<CustomerIdentity, "regions"> | undefined;
     /** Region of each failure domain. */
     readonly regions: ReadonlyMap<string, string>;
   },
@@ -319,9 +319,9 @@
     kind: "class",
     name: route.name,
     tier: route.tier,
-    firstTokenMs: route.targetMs,
-    betweenTokensMs: route.betweenMs,
-    queueMs: route.targetMs,
+    firstTokenMs: route.targetLatencyMs,
+    betweenTokensMs: route.targetGapMs,
+    queueMs: route.targetLatencyMs,
     share: GUARANTEED_ROUTE_SHARE,
   }));
   const pools = routing.services.map((service): config.PoolPart => ({
@@ -339,7 +339,7 @@
     ...(coldBound && service.coldStart && {
       coldStart: {
         startMs: service.coldStart.startMs,
-        mostPerSecond: coldBound.factor * service.coldStart.perSecond +
+        mostPerSecond: coldBound.factor * service.coldStart.requestsPerSecond +
           coldBound.slack,
       },
     }),
--- a/packages/core/server_eligibility.ts
+++ b/packages/core/server_eligibility.ts
@@ -5,7 +5,7 @@
 /** Use of the guaranteed share of a class. */
 export interface GuaranteeOptions {
   /** Whether the class has enough share credit to start a request beyond its slot limit. */
-  readonly turn: boolean;
+  readonly hasCredit: boolean;
   /** Returns the slots of a pool that are guaranteed to the class. */
   readonly guaranteedSlots: (pool: serverState.PoolState) => number;
 }
@@ -47,13 +47,13 @@
  * guaranteed slots.
  *
  * @example
- * isWithinTurn(pool, { wanted, options });
+ * isWithinTurn(pool, { request, options });
  */
 export function isWithinGuarantee(
   pool: serverState.PoolState,
-  { wanted, options }: { wanted: request.Request; options: GuaranteeOptions },
+  { request, options }: { request: request.Request; options: GuaranteeOptions },
 ): boolean {
-  const running = pool.runningByClass.get(wanted.className) ?? 0;
-  return options.turn && !pool.remote &&
+  const running = pool.runningByClass.get(request.className) ?? 0;
+  return options.hasCredit && !pool.remote &&
     running < options.guaranteedSlots(pool);
 }
--- a/packages/core/server_state.ts
+++ b/packages/core/server_state.ts
@@ -182,7 +182,7 @@
  * @example
  * withdrawServer(server, now + constants.EJECT_MS);
  */
-export function withdrawServer(server: ServerState, until: number): void {
+export function ejectServer(server: ServerState, until: number): void {
   server.ejectedUntil = until;
   server.admittedAt = until;
 }
@@ -195,8 +195,11 @@
  * @example
  * abandonServer(server, now + constants.EJECT_MS);
  */
-export function abandonServer(server: ServerState, until: number): void {
-  withdrawServer(server, until);
+export function ejectUnreachableServer(
+  server: ServerState,
+  until: number,
+): void {
+  ejectServer(server, until);
   const startMs = server.pool.coldStart?.startMs ?? 0;
   server.coldUntil = Math.max(server.coldUntil, until + startMs);
 }
--- a/packages/core/servers.ts
+++ b/packages/core/servers.ts
@@ -292,8 +292,9 @@
     );
     server.ejections += 1;
     server.consecutiveFailures = constants.EJECT_AFTER_FAILURES - 1;
-    if (failure === "not_sent") serverState.abandonServer(server, now + ms);
-    else serverState.withdrawServer(server, now + ms);
+    if (failure === "not_sent") {
+      serverState.ejectUnreachableServer(server, now + ms);
+    } else serverState.ejectServer(server, now + ms);
   }
 
   /** Records a load report of a server. */
--- a/scripts/check_style.ts
+++ b/scripts/check_style.ts
@@ -11,7 +11,7 @@
     "add after append apply arrive ask assert await begin build bundle call cancel carry check choose claim " +
     "classify clear close collect commit compact compare complete compute " +
     "confirm connect copy count crash create decide decode defend deliver describe dispatch " +
-    "divide drain draw drop encode end estimate exceeds expire explain export fail fetch " +
+    "divide drain draw drop eject encode end estimate exceeds expire explain export fail fetch " +
     "fill filter find finish fix flush forget format forward freeze generate get give go grant handle " +
     "has hash hold index inspect is issue join keep leave list listen load make " +
     "mark may measure merge move must needs normalize note notify obey open order parse pass peek pick plan " +
