--- a/packages/banyangrade/commands/records.ts
+++ b/packages/banyangrade/commands/records.ts
@@ -15,7 +15,7 @@
 
 /** A fixed window as the store keeps it. */
 interface WindowRecord {
-  readonly fixed: core.FixedWindow;
+  readonly fixed: core.FinalWindow;
   readonly reported: boolean;
 }
 
@@ -29,7 +29,7 @@
     toRow: (value) => {
       const { fixed, reported } = JSON.parse(value) as WindowRecord;
       const figures = Object.values(fixed.figures);
-      const sum = (field: keyof core.Figures) =>
+      const sum = (field: keyof core.UsageFigures) =>
         figures.reduce((total, one) => total + one[field], 0);
       return [
         core.getWindowId(fixed.failureDomain, fixed.window),
--- a/packages/banyangrade/routed/orders_round.ts
+++ b/packages/banyangrade/routed/orders_round.ts
@@ -51,7 +51,7 @@
   readonly #sent = new Map<string, SentOrder>();
   /** Keys of orders that have no response yet. */
   readonly #inFlight = new Set<string>();
-  #divisions: core.DecidedDivisions | undefined;
+  #divisions: core.EngineDivisionDecision | undefined;
 
   constructor(options: ScalingOrdersOptions) {
     this.#options = options;
@@ -62,7 +62,7 @@
     this.#sent.clear();
   }
 
-  getDivisions(): core.DecidedDivisions | undefined {
+  getDivisions(): core.EngineDivisionDecision | undefined {
     return this.#divisions;
   }
 
@@ -75,7 +75,7 @@
     const byService = Object.fromEntries(
       services.flatMap(({ name, engine }) => {
         if (engine === undefined) return [];
-        const known = before[name] ?? core.DIVISION_AT_FIRST;
+        const known = before[name] ?? core.INITIAL_DIVISION;
         const division = core.decideDivision({
           demand: core.sumDemand(statuses, name),
           engines: this.#listReady(name).length,
@@ -89,8 +89,8 @@
   }
 
   #recordDivisionChanges(
-    before: core.DecidedDivisions["byService"],
-    now: core.DecidedDivisions["byService"],
+    before: core.EngineDivisionDecision["byService"],
+    now: core.EngineDivisionDecision["byService"],
   ): void {
     Object.entries(now)
       .filter(([service, { kind }]) => before[service]?.kind !== kind)
@@ -202,13 +202,13 @@
     const planner = this.#planners.get(wanted.service);
     if (sent.val.code === "unknown_outcome") {
       record.unanswered = true;
-      planner?.recordUnanswered(wanted, clock.now());
+      planner?.recordLostResponse(wanted, clock.now());
     }
     // A conflict means that a newer lease holder was seen, or that the platform has
     // no reclaimable servers left. It does not say which, so the latter is assumed.
     if (!wanted.spot || sent.val.code !== "conflict") return;
     this.#sent.delete(key);
-    planner?.recordUnavailable(wanted.failureDomain, now);
+    planner?.recordSpotUnavailable(wanted.failureDomain, now);
     // Their replacements are ordered at once, as they take seconds to boot.
     this.#sendService(service);
   }
--- a/packages/banyangrade/routed/presence_task.ts
+++ b/packages/banyangrade/routed/presence_task.ts
@@ -50,7 +50,7 @@
   /** Whether this host holds a control role and must read the published statuses in each round. */
   readonly hasRole: () => boolean;
   /** Returns how engines are divided between short and long prompts; undefined if another host decides it. */
-  readonly getDivisions: () => core.DecidedDivisions | undefined;
+  readonly getDivisions: () => core.EngineDivisionDecision | undefined;
   /** Called with the summary of all other hosts. */
   readonly onSummary: (summary: core.HostsSummary) => void;
 }
@@ -124,7 +124,7 @@
   acceptStatuses(statuses: readonly core.HostStatus[]): peer.ReportAnswer {
     const now = this.#options.clock.now();
     statuses.forEach((status, index) =>
-      this.#statuses.take(status, { now, direct: index === 0 })
+      this.#statuses.record(status, { now, direct: index === 0 })
     );
     return {
       others: this.#sumOthers({ without: statuses[0]?.host ?? "" }),
@@ -170,7 +170,7 @@
 
   #recordOwnStatus(): void {
     const { clock, describe } = this.#options;
-    this.#statuses.take(describe(), { now: clock.now(), direct: true });
+    this.#statuses.record(describe(), { now: clock.now(), direct: true });
   }
 
   /** Reports to the relay; returns undefined if no relay answers. */
@@ -220,12 +220,14 @@
    */
   #sumOthers(options: { readonly without: string }): core.HostsSummary {
     const now = this.#options.clock.now();
-    [...this.#received].filter(([, { at }]) => now - at > core.KEEP_STATUS_MS)
+    [...this.#received].filter(([, { at }]) =>
+      now - at > core.STATUS_RETENTION_MS
+    )
       .forEach(([address]) => this.#received.delete(address));
     const sum = core.mergeSummaries([
       this.#statuses.sum(now, options),
       ...[...this.#received.values()].map(({ summary, at }) =>
-        core.dropOldWork(summary, now - at)
+        core.dropStaleLoad(summary, now - at)
       ),
     ]);
     return {
@@ -237,7 +239,7 @@
 
   #countPublished(): number {
     const recent =
-      this.#options.clock.now() - this.#readAt <= core.KEEP_STATUS_MS;
+      this.#options.clock.now() - this.#readAt <= core.STATUS_RETENTION_MS;
     return recent ? core.listCurrentStatuses(this.#published).length : 0;
   }
 
@@ -255,7 +257,7 @@
   async #tryPublish(): Promise<boolean> {
     const { store: client, host, incarnation, clock, relay } = this.#options;
     if (this.#lease === undefined) {
-      const granted = await client.grantLease(core.KEEP_STATUS_MS / 1_000);
+      const granted = await client.grantLease(core.STATUS_RETENTION_MS / 1_000);
       if (granted.err) return this.#recordFailure(granted.val);
       this.#lease = granted.val;
     }
--- a/packages/banyangrade/routed/roles_task.ts
+++ b/packages/banyangrade/routed/roles_task.ts
@@ -168,7 +168,7 @@
   }
 
   /** Counts a window from the statuses of all hosts, and logs the hosts whose status is older than its end. */
-  #countWindow(window: number, failureDomain: string): core.FixedWindow {
+  #countWindow(window: number, failureDomain: string): core.FinalWindow {
     const fixed = this.#collector.buildWindow(window, failureDomain);
     const { listStatuses, log, getTrueTime, settings } = this.#options;
     const end = (window + 1) * settings.usageWindowMs;
@@ -187,18 +187,18 @@
   /** Finds the latest window that can be fixed. */
   #findLastClosed(): number {
     const { settings, getTrueTime, listStatuses } = this.#options;
-    return core.findLastWindow({
+    return core.findNewestFinalWindow({
       now: getTrueTime(),
       publishedAt: core.listCurrentStatuses(listStatuses()).map(({ at }) => at),
       windowMs: settings.usageWindowMs,
-      countsMs: COUNTS_ARRIVAL_MS,
-      partialMs: PARTIAL_SHARE * settings.usageDueMs,
-      latestMs: settings.usageDueMs - FIX_MARGIN_MS,
+      minDelayMs: COUNTS_ARRIVAL_MS,
+      halfPublishedDelayMs: PARTIAL_SHARE * settings.usageDueMs,
+      maxDelayMs: settings.usageDueMs - FIX_MARGIN_MS,
     });
   }
 
   /** Returns how engines are divided between short and long prompts; undefined while this host does not hold the roles. */
-  getDivisions(): core.DecidedDivisions | undefined {
+  getDivisions(): core.EngineDivisionDecision | undefined {
     return this.hasRole() ? this.#orders.getDivisions() : undefined;
   }
 
--- a/packages/banyangrade/usage_task.ts
+++ b/packages/banyangrade/usage_task.ts
@@ -47,7 +47,7 @@
 
   /** Records usage in the current window. */
   record(
-    entry: { readonly key: string; readonly figures: core.Figures },
+    entry: { readonly key: string; readonly figures: core.UsageFigures },
   ): void {
     const window = Math.floor(
       this.#options.clock.wall() / this.#options.windowMs,
@@ -66,7 +66,7 @@
     const own = this.#ledger.listBatches();
     this.#collector.add(own);
     const reporter = this.#getReporter();
-    const replica = this.#options.overlay.members.listFingers()[0];
+    const replica = this.#options.overlay.members.listHeartbeatTargets()[0];
     await Promise.all([
       reporter && this.#sendTo(reporter, [...own, ...this.#listOrphans()]),
       replica && this.#sendTo(`${replica.address}`, own),
@@ -95,7 +95,7 @@
   }
 
   #listOthers(): string[] {
-    return this.#options.overlay.members.listFingers()
+    return this.#options.overlay.members.listHeartbeatTargets()
       .map((member) => member.address);
   }
 
--- a/packages/core/billing.ts
+++ b/packages/core/billing.ts
@@ -8,7 +8,7 @@
  */
 
 /** Usage figures of a window: the billed ones and `wastedTokens`, which is only measured. */
-export interface Figures {
+export interface UsageFigures {
   readonly requests: number;
   readonly promptTokens: number;
   readonly outputTokens: number;
@@ -17,7 +17,7 @@
 }
 
 /** Usage figures by `customer|class|target`. */
-export type FigureTable = Readonly<Record<string, Figures>>;
+export type UsageTable = Readonly<Record<string, UsageFigures>>;
 
 /** Usage of one host in one window since its previous batch. */
 export interface UsageBatch {
@@ -26,7 +26,7 @@
   /** Sequence number; increases from 1 without gaps. */
   readonly sequence: number;
   readonly window: number;
-  readonly figures: FigureTable;
+  readonly figures: UsageTable;
 }
 
 /** Sequence number of the last batch counted, by source. */
@@ -35,20 +35,20 @@
 /** Usage that arrived too late for its own window. */
 export interface Adjustment {
   readonly window: number;
-  readonly figures: FigureTable;
+  readonly figures: UsageTable;
 }
 
 /** Final figures of a window, written to the store before they are reported. */
-export interface FixedWindow {
+export interface FinalWindow {
   readonly failureDomain: string;
   readonly window: number;
-  readonly figures: FigureTable;
+  readonly figures: UsageTable;
   readonly adjustments: readonly Adjustment[];
   /** Sequence numbers of the batches counted up to and including this window. */
   readonly counted: SequenceVector;
 }
 
-const NO_FIGURES: Figures = {
+const NO_FIGURES: UsageFigures = {
   requests: 0,
   promptTokens: 0,
   outputTokens: 0,
@@ -61,8 +61,8 @@
  * @example
  * addFigures({}, table); // equal to table
  */
-export function addFigures(a: FigureTable, b: FigureTable): FigureTable {
-  const sum: Record<string, Figures> = { ...a };
+export function addFigures(a: UsageTable, b: UsageTable): UsageTable {
+  const sum: Record<string, UsageFigures> = { ...a };
   Object.entries(b).forEach(([key, figures]) => {
     const base = sum[key] ?? NO_FIGURES;
     sum[key] = {
@@ -79,7 +79,7 @@
 export class UsageLedger {
   readonly #source: string;
   #sequence = 0;
-  #openWindows = new Map<number, FigureTable>();
+  #openWindows = new Map<number, UsageTable>();
   #batches: UsageBatch[] = [];
 
   constructor(source: string) {
@@ -87,7 +87,7 @@
   }
 
   /** Records usage in a window. */
-  record(window: number, entry: { key: string; figures: Figures }): void {
+  record(window: number, entry: { key: string; figures: UsageFigures }): void {
     const table = this.#openWindows.get(window) ?? {};
     this.#openWindows.set(
       window,
@@ -166,7 +166,7 @@
    * are counted in sequence. A batch after a missing sequence number waits, because
    * otherwise the vector would skip the missing batch and its usage would be lost.
    */
-  buildWindow(window: number, failureDomain: string): FixedWindow {
+  buildWindow(window: number, failureDomain: string): FinalWindow {
     const contiguous = [...this.#batches].map(([source, held]) =>
       listContiguous(held, this.#counted[source] ?? 0)
         .filter((_, index, ordered) =>
@@ -214,9 +214,9 @@
 function sumWindow(
   batches: readonly UsageBatch[],
   window: number,
-): FigureTable {
+): UsageTable {
   return batches.filter((batch) => batch.window === window)
-    .reduce<FigureTable>((sum, batch) => addFigures(sum, batch.figures), {});
+    .reduce<UsageTable>((sum, batch) => addFigures(sum, batch.figures), {});
 }
 
 /**
--- a/packages/core/domain_orders.ts
+++ b/packages/core/domain_orders.ts
@@ -63,7 +63,7 @@
   readonly #lastOrders = new Map<string, LastOrder>();
 
   /** Records that no spot servers are available in a failure domain. */
-  recordUnavailable(failureDomain: string, now: number): void {
+  recordSpotUnavailable(failureDomain: string, now: number): void {
     this.#spotUnavailableAt.set(failureDomain, now);
     // The refused servers will not start, so they are not expected any more.
     this.#lastOrders.delete(`${failureDomain}/spot`);
@@ -75,7 +75,7 @@
    * the next plan with available spot servers would cancel the order, and a burst
    * would get servers of neither kind.
    */
-  recordUnanswered(
+  recordLostResponse(
     { failureDomain, spot }: {
       readonly failureDomain: string;
       readonly spot: boolean;
--- a/packages/core/domain_orders_test.ts
+++ b/packages/core/domain_orders_test.ts
@@ -47,7 +47,7 @@
   const planner = startPlanner({ spot: 1 });
   const servers = { ordinary: 0, spot: 0 };
   planner.plan(buildDemand(900, servers), 0);
-  DOMAINS.forEach((domain) => planner.recordUnavailable(domain, 100));
+  DOMAINS.forEach((domain) => planner.recordSpotUnavailable(domain, 100));
   const ordered = planner.plan(buildDemand(900, servers), 1_000);
   t.equal(sumKind(ordered, "ordinary"), 28);
   return { planner, servers };
@@ -100,7 +100,7 @@
       domain.failureDomain === "b" ? { ...domain, spot: 0 } : domain
     ),
   };
-  planner.recordUnavailable("b", 0);
+  planner.recordSpotUnavailable("b", 0);
   const counts = planner.plan(reclaimed, 500);
   const own = counts.find(({ failureDomain }) => failureDomain === "b");
   t.same(own, { failureDomain: "b", spot: undefined, ordinary: 1 });
@@ -126,7 +126,7 @@
         : domain
     ),
   };
-  planner.recordUnavailable("b", 0);
+  planner.recordSpotUnavailable("b", 0);
   planner.plan(reclaimed, 500);
   const counts = planner.plan(reclaimed, 9_000);
   const spotOf = (name: string) =>
@@ -148,7 +148,7 @@
       domain.failureDomain === "b" ? { ...domain, spot: 0 } : domain
     ),
   };
-  planner.recordUnavailable("b", 0);
+  planner.recordSpotUnavailable("b", 0);
   const ordered = planner.plan(reclaimed, 500);
   t.same(ordered.map(({ spot }) => spot), [6, undefined, 6, 6]);
   const again = planner.plan(reclaimed, 3_600);
@@ -167,7 +167,7 @@
   const planner = startPlanner({ spot: 3 });
   const heavy = buildDemand(150, { spot: 3 });
   t.equal(sumKind(planner.plan(heavy, 500), "spot"), 24);
-  DOMAINS.forEach((domain) => planner.recordUnavailable(domain, 600));
+  DOMAINS.forEach((domain) => planner.recordSpotUnavailable(domain, 600));
   const refused = planner.plan(heavy, 700);
   t.equal(
     sumKind(refused, "ordinary"),
@@ -181,7 +181,7 @@
 // servers are ordered only if requests would fail, not if the rest can carry the load.
 tap.test("ordinary servers are ordered if no spot servers remain", (t) => {
   const planner = startPlanner({ spot: 3 });
-  DOMAINS.forEach((domain) => planner.recordUnavailable(domain, 0));
+  DOMAINS.forEach((domain) => planner.recordSpotUnavailable(domain, 0));
   const light = planner.plan(buildDemand(60, { spot: 2 }), 500);
   t.equal(sumKind(light, "ordinary"), 0);
   const heavy = planner.plan(buildDemand(150, { spot: 2 }), 1_000);
@@ -232,7 +232,7 @@
 tap.test("servers whose order has no response are not cancelled", (t) => {
   const { planner, servers } = startBurstWithoutSpot(t);
   DOMAINS.forEach((failureDomain) =>
-    planner.recordUnanswered({ failureDomain, spot: false }, 3_000)
+    planner.recordLostResponse({ failureDomain, spot: false }, 3_000)
   );
   // By now the servers would have started if the order had been executed at once.
   const retried = planner.plan(buildDemand(900, servers), 7_500);
@@ -311,7 +311,7 @@
   const planner = new core.DomainPlanner();
   const ordered = planner.plan(buildDemand(60, { ordinary: 3 }), 0);
   t.equal(sumKind(ordered, "spot"), 12);
-  DOMAINS.forEach((domain) => planner.recordUnavailable(domain, 10));
+  DOMAINS.forEach((domain) => planner.recordSpotUnavailable(domain, 10));
   t.same(planner.plan(buildDemand(60, { ordinary: 3 }), 20), []);
   t.end();
 });
--- a/packages/core/engine_choice.ts
+++ b/packages/core/engine_choice.ts
@@ -35,13 +35,13 @@
   /** Estimated number of running requests of all hosts. */
   readonly load: number;
   /** Number of running requests of this host. */
-  readonly own: number;
+  readonly ownRequests: number;
   /** Estimated prompt tokens of all hosts that await prefill. */
   readonly prompting: number;
   /** Prompt tokens of this host that await prefill. */
   readonly ownPrompting: number;
   /** Whether this host has an idle connection to the engine. */
-  readonly connected: boolean;
+  readonly hasIdleConnection: boolean;
 }
 
 /** Properties of a request that determine its engine. */
@@ -67,12 +67,12 @@
     const change = constants.EWMA_WEIGHT * (promptTokens - mean);
     this.#means.set(className, mean + change);
     if (!this.isShort(className)) return;
-    const before = this.getTightestMs(target);
+    const before = this.getMinTargetBetweenMs(target);
     this.#tightestMs.set(target, Math.min(before, targetBetweenMs));
   }
 
   /** Returns the smallest target time between tokens of the classes with short prompts, in ms; infinity if there is none. */
-  getTightestMs(target: string): number {
+  getMinTargetBetweenMs(target: string): number {
     return this.#tightestMs.get(target) ?? Number.POSITIVE_INFINITY;
   }
 
@@ -89,7 +89,7 @@
   /** The engines among `live` that may get one more request. */
   readonly usable: readonly EngineView[];
   /** Names of the engines for short prompts; undefined if all engines take both kinds. */
-  readonly shortNames: ReadonlySet<string> | undefined;
+  readonly shortPromptEngines: ReadonlySet<string> | undefined;
   /** This host's failure domain. */
   readonly failureDomain: string;
   readonly random: utils.Random;
@@ -117,9 +117,10 @@
   prompt: EngineRequest,
   options: EngineChoiceOptions,
 ): EngineChoice | undefined {
-  const { usable, live, shortNames } = options;
+  const { usable, live, shortPromptEngines } = options;
   const isSameKind = ({ name }: EngineView) =>
-    shortNames === undefined || shortNames.has(name) === prompt.isShort;
+    shortPromptEngines === undefined ||
+    shortPromptEngines.has(name) === prompt.isShort;
   const sameKind = usable.filter((engine) =>
     isSameKind(engine) && engine.load < FULL_UTILISATION * engine.slots
   );
@@ -179,11 +180,11 @@
 ): EngineView | undefined {
   const available = dropOverloaded(engines);
   const score = (engine: EngineView) =>
-    engine.own + engine.ownPrompting / TOKENS_PER_REQUEST +
+    engine.ownRequests + engine.ownPrompting / TOKENS_PER_REQUEST +
     (engine.failureDomain === failureDomain ? 0 : REMOTE_PENALTY);
   const minScore = Math.min(...available.map(score));
   const leastLoaded = available.filter((engine) => score(engine) === minScore);
-  const connected = leastLoaded.filter((engine) => engine.connected);
+  const connected = leastLoaded.filter((engine) => engine.hasIdleConnection);
   const candidates = connected.length > 0 ? connected : leastLoaded;
   return candidates[random.below(candidates.length)];
 }
--- a/packages/core/engine_choice_test.ts
+++ b/packages/core/engine_choice_test.ts
@@ -15,10 +15,10 @@
     failureDomain: DOMAINS[index % DOMAINS.length],
     slots: 32,
     load: 0,
-    own: 0,
+    ownRequests: 0,
     prompting: 0,
     ownPrompting: 0,
-    connected: false,
+    hasIdleConnection: false,
     ...change(index),
   }));
 }
@@ -32,7 +32,7 @@
 ): string | undefined {
   return core.chooseEngine(prompt, {
     live: options.usable,
-    shortNames: undefined,
+    shortPromptEngines: undefined,
     failureDomain: "a",
     random,
     ...options,
@@ -86,10 +86,10 @@
         failureDomain: DOMAINS[index % DOMAINS.length],
         slots: 128,
         load: own.length + others.length,
-        own: own.length,
+        ownRequests: own.length,
         prompting: sumTokens(own) + sumTokens(others),
         ownPrompting: sumTokens(own),
-        connected: true,
+        hasIdleConnection: true,
       };
     });
   }
@@ -180,14 +180,14 @@
 // engine.
 tap.test("divided engines keep short and long prompts apart", (t) => {
   const usable = buildEngines(13);
-  const shortNames = core.selectShortPromptEngines(usable, 0.5);
-  const options = { usable, shortNames };
-  t.ok(shortNames.has(chooseName(SHORT_REQUEST, options) ?? ""));
+  const shortPromptEngines = core.selectShortPromptEngines(usable, 0.5);
+  const options = { usable, shortPromptEngines };
+  t.ok(shortPromptEngines.has(chooseName(SHORT_REQUEST, options) ?? ""));
   const long = Array.from(
     { length: 40 },
     (_, index) => chooseName(buildLongRequest(`plant-${index}`), options),
   );
-  t.notOk(long.some((name) => shortNames.has(name ?? "")));
+  t.notOk(long.some((name) => shortPromptEngines.has(name ?? "")));
   t.ok(new Set(long).size > 4, "prefixes are spread over the engines");
   t.end();
 });
@@ -195,13 +195,21 @@
 // Guards against a burst of short prompts that waits for its own engines while the
 // engines for long prompts have free slots.
 tap.test("prompts overflow to the other kind of engines", (t) => {
-  const shortNames = core.selectShortPromptEngines(buildEngines(13), 0.5);
+  const shortPromptEngines = core.selectShortPromptEngines(
+    buildEngines(13),
+    0.5,
+  );
   const usable = buildEngines(
     13,
-    (index) => ({ load: shortNames.has(`engine-${index}`) ? 30 : 1 }),
+    (index) => ({ load: shortPromptEngines.has(`engine-${index}`) ? 30 : 1 }),
   );
   t.notOk(
-    shortNames.has(chooseName(SHORT_REQUEST, { usable, shortNames }) ?? ""),
+    shortPromptEngines.has(
+      chooseName(SHORT_REQUEST, {
+        usable,
+        shortPromptEngines: shortPromptEngines,
+      }) ?? "",
+    ),
   );
   t.end();
 });
@@ -258,7 +266,12 @@
 // cache.
 tap.test("a prefix is fetched from the engine that may cache it", (t) => {
   const live = buildEngines(13);
-  const options = { live, shortNames: undefined, failureDomain: "a", random };
+  const options = {
+    live,
+    shortPromptEngines: undefined,
+    failureDomain: "a",
+    random,
+  };
   const prompt = buildLongRequest("plant");
   const first = core.chooseEngine(prompt, { ...options, usable: live });
   t.ok(first?.source !== undefined && first.source !== first.name);
@@ -288,7 +301,7 @@
 tap.test("equal engines with an idle connection are preferred", (t) => {
   const engines = buildEngines(
     8,
-    (index) => ({ failureDomain: "a", connected: index > 5 }),
+    (index) => ({ failureDomain: "a", hasIdleConnection: index > 5 }),
   );
   const choose = (usable: readonly core.EngineView[]) =>
     new Set(
@@ -296,7 +309,7 @@
     );
   t.same([...choose(engines)].toSorted(), ["engine-6", "engine-7"]);
   const busy = engines.map((engine) =>
-    engine.connected ? { ...engine, own: 1, load: 1 } : engine
+    engine.hasIdleConnection ? { ...engine, ownRequests: 1, load: 1 } : engine
   );
   t.equal(choose(busy).size, 6, "but not over less loaded engines");
   t.end();
--- a/packages/core/engine_division.ts
+++ b/packages/core/engine_division.ts
@@ -32,7 +32,7 @@
   | { readonly kind: "divided"; readonly shortShare: number };
 
 /** Division before any demand is known. */
-export const DIVISION_AT_FIRST: EngineDivision = {
+export const INITIAL_DIVISION: EngineDivision = {
   kind: "divided",
   shortShare: 0.4,
 };
@@ -70,7 +70,7 @@
   previous: EngineDivision,
 ): EngineDivision {
   if (mayMix(engineDemand.demand.pauses, previous)) return { kind: "mixed" };
-  const divided = previous.kind === "divided" ? previous : DIVISION_AT_FIRST;
+  const divided = previous.kind === "divided" ? previous : INITIAL_DIVISION;
   const share = divided.kind === "divided" ? divided.shortShare : 0;
   return {
     kind: "divided",
@@ -117,9 +117,9 @@
  * engines take both kinds.
  *
  * @example
- * const shortNames = listShortNames(engines, { kind: "mixed" }); // undefined
+ * const engineNames = listShortPromptEngines(engines, { kind: "mixed" }); // undefined
  */
-export function listShortNames(
+export function listShortPromptEngines(
   engines: readonly RankedEngine[],
   division: EngineDivision,
 ): ReadonlySet<string> | undefined {
--- a/packages/core/engine_division_test.ts
+++ b/packages/core/engine_division_test.ts
@@ -101,7 +101,7 @@
     t.equal(decide(between, previous).kind, previous.kind, "no oscillation");
     t.equal(decide(few, previous).kind, previous.kind, "too few gaps observed");
   });
-  t.equal(core.listShortNames(buildEngines(6), mixed), undefined);
+  t.equal(core.listShortPromptEngines(buildEngines(6), mixed), undefined);
   t.end();
 });
 
--- a/packages/core/host_statuses.ts
+++ b/packages/core/host_statuses.ts
@@ -36,7 +36,7 @@
 }
 
 /** Decision of one host on how engines are divided between short and long prompts. */
-export interface DecidedDivisions {
+export interface EngineDivisionDecision {
   /** Corrected time of day of the decision, in Unix ms; the newest decision applies. */
   readonly at: number;
   readonly byService: Readonly<Record<string, engineDivision.EngineDivision>>;
@@ -53,11 +53,11 @@
   readonly times: readonly number[];
   readonly suspects: readonly events.SuspectMark[];
   /** Newest decision; absent until one has been received. */
-  readonly divisions?: DecidedDivisions;
+  readonly divisions?: EngineDivisionDecision;
 }
 
 /** Time in ms for which the usage counts of a host are kept: three usage windows, within which a window is finalised even if the responsible host fails over. */
-export const KEEP_STATUS_MS = 15_000;
+export const STATUS_RETENTION_MS = 15_000;
 /** Age in ms up to which the load of a status is valid: three status intervals. */
 const LOAD_VALID_MS = 3_000;
 /** Maximum number of clock readings in a summary: enough for a median that a few wrong clocks do not shift. */
@@ -99,7 +99,7 @@
    * statuses forwarded during an outage would set the time of day of every host
    * back by seconds.
    */
-  take(
+  record(
     status: HostStatus,
     { now, direct }: { readonly now: number; readonly direct: boolean },
   ): void {
@@ -111,7 +111,7 @@
 
   /** Lists the statuses within their retention time, including those of earlier incarnations. */
   list(now: number): HostStatus[] {
-    [...this.#received].filter(([, { at }]) => now - at > KEEP_STATUS_MS)
+    [...this.#received].filter(([, { at }]) => now - at > STATUS_RETENTION_MS)
       .forEach(([key]) => this.#received.delete(key));
     return [...this.#received.values()].map(({ status }) => status);
   }
@@ -188,7 +188,7 @@
  * @example
  * dropOldWork(summary, 4_000).running; // {}
  */
-export function dropOldWork(
+export function dropStaleLoad(
   summary: HostsSummary,
   ageMs: number,
 ): HostsSummary {
@@ -212,9 +212,9 @@
  * findNewestDecision([own, received])?.byService;
  */
 export function findNewestDecision(
-  decisions: readonly DecidedDivisions[],
-): DecidedDivisions | undefined {
-  return decisions.reduce<DecidedDivisions | undefined>(
+  decisions: readonly EngineDivisionDecision[],
+): EngineDivisionDecision | undefined {
+  return decisions.reduce<EngineDivisionDecision | undefined>(
     (newest, decision) =>
       newest !== undefined && newest.at >= decision.at ? newest : decision,
     undefined,
--- a/packages/core/host_statuses_test.ts
+++ b/packages/core/host_statuses_test.ts
@@ -29,7 +29,7 @@
 tap.test("a summary for a host leaves out its own status", (t) => {
   const statuses = new core.HostStatuses();
   ["a", "b", "c"].forEach((host) =>
-    statuses.take(buildStatus(host), { now: 0, direct: true })
+    statuses.record(buildStatus(host), { now: 0, direct: true })
   );
   const others = statuses.sum(500, { without: "a" });
   t.equal(others.hosts, 2);
@@ -44,7 +44,7 @@
 // It keeps its share of the retry budget, and its usage must still be reported.
 tap.test("a stale status counts as a host, but not as load", (t) => {
   const statuses = new core.HostStatuses();
-  statuses.take(buildStatus("a"), { now: 0, direct: true });
+  statuses.record(buildStatus("a"), { now: 0, direct: true });
   const later = statuses.sum(4_000);
   t.equal(later.hosts, 1);
   t.same(later.running, {});
@@ -57,9 +57,9 @@
 // against a delayed status that replaces a newer one.
 tap.test("each incarnation of a host keeps its newest status", (t) => {
   const statuses = new core.HostStatuses();
-  statuses.take(buildStatus("a", { at: 2_000 }), { now: 0, direct: true });
-  statuses.take(buildStatus("a", { at: 1_500 }), { now: 10, direct: true });
-  statuses.take(buildStatus("a", { incarnation: "second", at: 3_000 }), {
+  statuses.record(buildStatus("a", { at: 2_000 }), { now: 0, direct: true });
+  statuses.record(buildStatus("a", { at: 1_500 }), { now: 10, direct: true });
+  statuses.record(buildStatus("a", { incarnation: "second", at: 3_000 }), {
     now: 20,
     direct: true,
   });
@@ -76,9 +76,9 @@
 // of every host fell behind, and requests were counted in the wrong usage windows.
 tap.test("a forwarded status affects neither time nor load", (t) => {
   const statuses = new core.HostStatuses();
-  statuses.take(buildStatus("a"), { now: 0, direct: true });
-  statuses.take(buildStatus("a"), { now: 2_000, direct: false });
-  statuses.take(buildStatus("b"), { now: 2_000, direct: false });
+  statuses.record(buildStatus("a"), { now: 0, direct: true });
+  statuses.record(buildStatus("a"), { now: 2_000, direct: false });
+  statuses.record(buildStatus("b"), { now: 2_000, direct: false });
   const sum = statuses.sum(2_500);
   t.same(sum.times, [3_500]);
   t.same(sum.running, { engine: 3 });
@@ -91,13 +91,13 @@
 // killed process was counted in addition to that of its successor.
 tap.test("the load of an earlier process is not counted", (t) => {
   const statuses = new core.HostStatuses();
-  statuses.take(buildStatus("a"), { now: 0, direct: true });
+  statuses.record(buildStatus("a"), { now: 0, direct: true });
   const successor = {
     incarnation: "second",
     running: { engine: 1 },
     prompting: {},
   };
-  statuses.take(buildStatus("a", successor), { now: 900, direct: true });
+  statuses.record(buildStatus("a", successor), { now: 900, direct: true });
   const sum = statuses.sum(1_000);
   t.same(sum.running, { engine: 1 });
   t.equal(sum.demand.planner.short, 2);
@@ -115,12 +115,12 @@
     times: [5_000],
     suspects: [mark],
   };
-  const merged = core.mergeSummaries([one, core.dropOldWork(one, 1_000)]);
+  const merged = core.mergeSummaries([one, core.dropStaleLoad(one, 1_000)]);
   t.equal(merged.hosts, 6);
   t.same(merged.running, { engine: 2 });
   t.same(merged.times, [5_000, 6_000]);
   t.same(merged.suspects, [mark]);
-  t.match(core.dropOldWork(one, 5_000), { hosts: 3, running: {}, times: [] });
+  t.match(core.dropStaleLoad(one, 5_000), { hosts: 3, running: {}, times: [] });
   t.end();
 });
 
--- a/packages/core/membership.ts
+++ b/packages/core/membership.ts
@@ -102,7 +102,7 @@
   }
 
   /** Lists the hosts to which this host sends heartbeats. */
-  listFingers(): Member[] {
+  listHeartbeatTargets(): Member[] {
     const ring = this.#getRing();
     const ownIndex = ring.indexOf(this.#self);
     const names = new Set<string>();
@@ -128,7 +128,7 @@
   }
 
   /** Returns a digest of the view; hosts whose digests keep differing exchange their full views. */
-  getSummary(): string {
+  getViewDigest(): string {
     const entries = this.listActive().map((member) =>
       `${member.name}:${member.incarnation}`
     );
@@ -136,7 +136,7 @@
   }
 
   /** Takes the member updates to send with the next heartbeat. */
-  takeNews(): Member[] {
+  takeUpdates(): Member[] {
     const updates = [...this.#records.values()].filter((record) =>
       record.sendsLeft > 0
     ).slice(0, MAX_UPDATES_PER_HEARTBEAT);
--- a/packages/core/membership_test.ts
+++ b/packages/core/membership_test.ts
@@ -86,7 +86,7 @@
     this.hosts.forEach((membership, index) => {
       if (this.#isPaused(index)) return;
       membership.tick(this.now);
-      const [successor, ...others] = membership.listFingers();
+      const [successor, ...others] = membership.listHeartbeatTargets();
       const nextTarget = others[this.round % Math.max(1, others.length)];
       const dead = membership.listDead();
       [successor, nextTarget, dead[this.round % Math.max(1, dead.length)]]
@@ -112,16 +112,18 @@
       this.cutLinks.has(`${to}>${from}`);
     if (lost) return this.hosts[from].recordMiss(name, this.now);
     this.hosts[to].merge(
-      [this.hosts[from].getSelf(), ...this.hosts[from].takeNews()],
+      [this.hosts[from].getSelf(), ...this.hosts[from].takeUpdates()],
       this.now,
     );
     this.hosts[from].merge(
-      [this.hosts[to].getSelf(), ...this.hosts[to].takeNews()],
+      [this.hosts[to].getSelf(), ...this.hosts[to].takeUpdates()],
       this.now,
     );
     this.hosts[from].recordAnswer(name);
     // The overlay also fetches the full view when the digests differ.
-    if (this.hosts[from].getSummary() === this.hosts[to].getSummary()) return;
+    if (this.hosts[from].getViewDigest() === this.hosts[to].getViewDigest()) {
+      return;
+    }
     this.hosts[from].merge(this.hosts[to].listAll(), this.now);
   }
 }
@@ -169,16 +171,18 @@
   // Guards against a healthy host that is declared dead again and again because
   // one other host cannot reach it. The healthy host must refute the suspicion.
   const simulation = new SimulatedHosts();
-  simulation.hosts[0].listFingers().slice(0, 1).forEach((successor) => {
-    const to = simulation.hosts.findIndex((membership) =>
-      membership.getSelf().name === successor.name
-    );
-    simulation.cutLinks.add(`0>${to}`);
-    for (let round = 0; round < 40; round += 1) simulation.runRound();
-    const views = simulation.hosts.filter((membership) =>
-      membership.listActive().some((member) => member.name === successor.name)
-    );
-    t.ok(views.length >= HOSTS - 1, `${views.length} views contain the host`);
-  });
+  simulation.hosts[0].listHeartbeatTargets().slice(0, 1).forEach(
+    (successor) => {
+      const to = simulation.hosts.findIndex((membership) =>
+        membership.getSelf().name === successor.name
+      );
+      simulation.cutLinks.add(`0>${to}`);
+      for (let round = 0; round < 40; round += 1) simulation.runRound();
+      const views = simulation.hosts.filter((membership) =>
+        membership.listActive().some((member) => member.name === successor.name)
+      );
+      t.ok(views.length >= HOSTS - 1, `${views.length} views contain the host`);
+    },
+  );
   t.end();
 });
--- a/packages/core/progress.ts
+++ b/packages/core/progress.ts
@@ -59,7 +59,7 @@
   if (server === undefined || pauseMs === undefined) return;
   if (server.prompting < LONG_PREFILL_TOKENS) return;
   const { target } = current.request;
-  const isLong = pauseMs > state.prompts.getTightestMs(target);
+  const isLong = pauseMs > state.prompts.getMinTargetBetweenMs(target);
   state.pauses.record(target, isLong, state.now);
 }
 
--- a/packages/core/router.ts
+++ b/packages/core/router.ts
@@ -173,10 +173,10 @@
       failureDomain: server.info.failureDomain,
       slots: serverState.getSlots(server),
       load: serverState.estimateLoad(server, now),
-      own: server.running,
+      ownRequests: server.running,
       prompting: serverState.estimatePrompting(server, now),
       ownPrompting: server.prompting,
-      connected: this.#isConnected(server.info.name),
+      hasIdleConnection: this.#isConnected(server.info.name),
     }));
     const usable = new Set(
       live.filter(isUsable).map((server) => server.info.name),
@@ -188,7 +188,7 @@
     }, {
       live: views,
       usable: views.filter((view) => usable.has(view.name)),
-      shortNames: this.#listShortNames(request.target, all),
+      shortPromptEngines: this.#listShortNames(request.target, all),
       failureDomain: this.#failureDomain,
       random: this.#random,
     });
@@ -211,8 +211,8 @@
     live: readonly serverState.ServerState[],
   ): ReadonlySet<string> | undefined {
     const division = this.#divisions.get(target) ??
-      engineDivision.DIVISION_AT_FIRST;
-    return engineDivision.listShortNames(
+      engineDivision.INITIAL_DIVISION;
+    return engineDivision.listShortPromptEngines(
       live.map(({ info: { name, failureDomain } }) => ({
         name,
         failureDomain,
@@ -360,8 +360,9 @@
       serverState.isCold(server, now)
     );
     if (cold.length === 0 || !this.#comparesPrompts) return cold.length;
-    const shortNames = this.#listShortNames(target, live);
-    const short = cold.filter(({ info }) => shortNames?.has(info.name)).length;
+    const shortPromptEngines = this.#listShortNames(target, live);
+    const short =
+      cold.filter(({ info }) => shortPromptEngines?.has(info.name)).length;
     const long = cold.length - short;
     return short > 0 && long > 0 ? Math.min(short, long) : cold.length;
   }
--- a/packages/core/window_counts.ts
+++ b/packages/core/window_counts.ts
@@ -51,7 +51,7 @@
   setCounted(): void {}
 
   /** Builds the figures of a window from the published tables. */
-  buildWindow(window: number, failureDomain: string): billing.FixedWindow {
+  buildWindow(window: number, failureDomain: string): billing.FinalWindow {
     const requests = new Map<string, number>();
     this.#tables.flatMap((table) => Object.entries(table[String(window)] ?? {}))
       .forEach(([customer, count]) =>
@@ -80,11 +80,11 @@
   readonly publishedAt: readonly number[];
   readonly windowMs: number;
   /** Minimum delay, within which requests that have just started are counted. */
-  readonly countsMs: number;
+  readonly minDelayMs: number;
   /** Delay after which it is sufficient that half of the hosts have published. */
-  readonly partialMs: number;
+  readonly halfPublishedDelayMs: number;
   /** Delay after which a window is finalised in any case, because its report would be too late otherwise. */
-  readonly latestMs: number;
+  readonly maxDelayMs: number;
 }
 
 /** Maximum number of windows that are open at once; older windows are finalised in any case. */
@@ -102,7 +102,7 @@
  * @example
  * findLastWindow({ now, publishedAt, windowMs: 5_000, ...times });
  */
-export function findLastWindow(times: WindowTimes): number {
+export function findNewestFinalWindow(times: WindowTimes): number {
   const { now, windowMs } = times;
   const newest = Math.floor(now / windowMs) - 1;
   const open = Array.from(
@@ -115,15 +115,16 @@
 
 function mayFinalise(end: number, times: WindowTimes): boolean {
   const elapsed = times.now - end;
-  if (elapsed >= times.latestMs) return true;
+  if (elapsed >= times.maxDelayMs) return true;
   const { publishedAt } = times;
   const active = publishedAt.filter((at) => at >= end - times.windowMs);
   const published = active.filter((at) => at >= end).length;
   if (
-    elapsed >= times.countsMs && published > 0 && published === active.length
+    elapsed >= times.minDelayMs && published > 0 && published === active.length
   ) {
     return true;
   }
-  return elapsed >= times.partialMs && 2 * published >= publishedAt.length &&
+  return elapsed >= times.halfPublishedDelayMs &&
+    2 * published >= publishedAt.length &&
     published > 0;
 }
--- a/packages/core/window_counts_test.ts
+++ b/packages/core/window_counts_test.ts
@@ -32,9 +32,9 @@
 
 const TIMES = {
   windowMs: 5_000,
-  countsMs: 1_500,
-  partialMs: 5_000,
-  latestMs: 8_500,
+  minDelayMs: 1_500,
+  halfPublishedDelayMs: 5_000,
+  maxDelayMs: 8_500,
 };
 
 // Guards against a window that is finalised before the hosts have published its
@@ -42,7 +42,7 @@
 // because of one dead host or of a store outage in which no host could publish.
 tap.test("a window waits for counts, but not for dead hosts", (t) => {
   const find = (now: number, publishedAt: readonly number[]) =>
-    core.findLastWindow({ ...TIMES, now, publishedAt });
+    core.findNewestFinalWindow({ ...TIMES, now, publishedAt });
   t.equal(find(51_400, [51_000, 50_900, 51_200]), 8, "too early");
   t.equal(find(51_600, [51_000, 50_900, 51_200]), 9, "all have published");
   t.equal(find(51_600, [51_000, 48_000, 51_200]), 8, "one host is unreachable");
--- a/packages/peer/overlay.ts
+++ b/packages/peer/overlay.ts
@@ -68,7 +68,7 @@
 
   /** Says goodbye to the fingers and stops. */
   async leave(): Promise<void> {
-    const fingers = this.members.listFingers();
+    const fingers = this.members.listHeartbeatTargets();
     this.members.leave(this.#options.clock.now());
     await this.#sendBeatsTo(fingers);
     this.stop();
@@ -136,7 +136,7 @@
   /** Beats to the fingers at once, for what must not wait for the next beat. */
   spread(): void {
     const remote = this.isRelay() ? this.listRemoteContacts() : [];
-    void this.#sendBeatsTo([...this.members.listFingers(), ...remote]);
+    void this.#sendBeatsTo([...this.members.listHeartbeatTargets(), ...remote]);
   }
 
   /** Lists the hosts that are relays. */
@@ -182,7 +182,7 @@
    * tried.
    */
   #listRegular(): { readonly name: string; readonly address: string }[] {
-    const [successor, ...others] = this.members.listFingers();
+    const [successor, ...others] = this.members.listHeartbeatTargets();
     this.#turn += 1;
     const inTurn = others.slice(this.#turn % Math.max(1, others.length))[0];
     const remote = this.isRelay() ? this.listRemoteContacts() : [];
@@ -242,7 +242,7 @@
     answer: protocol.Beat,
   ): Promise<void> {
     if (answer.failureDomain !== this.#options.failureDomain) return;
-    const same = answer.view === this.members.getSummary();
+    const same = answer.view === this.members.getViewDigest();
     const count = same ? 0 : (this.#differing.get(target.name) ?? 0) + 1;
     this.#differing.set(target.name, count >= DIFFERENT_VIEWS ? 0 : count);
     if (count < DIFFERENT_VIEWS && this.members.listActive().length > 1) return;
@@ -259,8 +259,8 @@
       failureDomain: this.#options.failureDomain,
       revision: this.#options.getRevision(),
       confirmedAt: this.#confirmedAt,
-      view: this.members.getSummary(),
-      news: this.members.takeNews(),
+      view: this.members.getViewDigest(),
+      news: this.members.takeUpdates(),
       marks: this.#marks.list().slice(-MARKS_LIMIT),
       withdrawn: [...this.#withdrawn].slice(-MARKS_LIMIT),
       rolesSum: this.listRoles().reduce((sum, role) => sum + role.token, 0),
--- a/packages/usage/client.ts
+++ b/packages/usage/client.ts
@@ -6,7 +6,7 @@
 export interface UsageClient {
   /** Reports a fixed window; the same identifier with the same figures may be sent again. */
   readonly report: (
-    window: core.FixedWindow,
+    window: core.FinalWindow,
     fencingToken: number,
   ) => Promise<utils.Result<unknown, utils.StepError>>;
 }
--- a/packages/usage/fake.ts
+++ b/packages/usage/fake.ts
@@ -11,7 +11,7 @@
 
 /** A report as it arrived first. */
 export interface ReportedWindow {
-  readonly figures: core.FigureTable;
+  readonly figures: core.UsageTable;
   readonly adjustments: readonly core.Adjustment[];
   readonly fencingToken: number;
 }
--- a/packages/usage/reporter.ts
+++ b/packages/usage/reporter.ts
@@ -41,7 +41,7 @@
 
 /** A fixed window and whether it was reported, as kept in the store. */
 interface WindowRecord {
-  readonly fixed: core.FixedWindow;
+  readonly fixed: core.FinalWindow;
   readonly reported: boolean;
 }
 
--- a/packages/usage/reporter_fuzz_test.ts
+++ b/packages/usage/reporter_fuzz_test.ts
@@ -91,7 +91,7 @@
 }
 
 interface Flight {
-  readonly window: core.FixedWindow;
+  readonly window: core.FinalWindow;
   readonly token: number;
   readonly sentAt: number;
   readonly answer: (answered: boolean) => void;
@@ -103,7 +103,7 @@
   readonly gone: SimHost[] = [];
   readonly flights: Flight[] = [];
   readonly reported = new Map<string, string>();
-  readonly windows = new Map<string, core.FixedWindow>();
+  readonly windows = new Map<string, core.FinalWindow>();
   newest = 0;
   crashes = 0;
 
@@ -286,7 +286,7 @@
     const counted = [...this.windows.values()].flatMap((window) => [
       window.figures,
       ...window.adjustments.map((adjustment) => adjustment.figures),
-    ]).reduce<core.FigureTable>(core.addFigures, {});
+    ]).reduce<core.UsageTable>(core.addFigures, {});
     this.hosts.forEach((one) =>
       simTesting.assertHolds(
         (counted[one.source]?.requests ?? 0) === one.recorded,
