--- a/packages/banyangrade/commands/publish.ts
+++ b/packages/banyangrade/commands/publish.ts
@@ -35,7 +35,7 @@
   reach: reachModule.Reach,
   { input, parts }: {
     readonly input: commandLine.CommandInput;
-    readonly parts: readonly core.Part[];
+    readonly parts: readonly core.ConfigPart[];
   },
 ): Promise<number> {
   if (input.options["dry-run"] === true) {
@@ -70,7 +70,7 @@
 
 async function showDifference(
   reach: reachModule.Reach,
-  parts: readonly core.Part[],
+  parts: readonly core.ConfigPart[],
 ): Promise<number> {
   const read = await store.readConfiguration(
     reach.store,
--- a/packages/banyangrade/orders_round_test.ts
+++ b/packages/banyangrade/orders_round_test.ts
@@ -26,7 +26,7 @@
 function buildServer(failureDomain: string, index: number): core.ListedServer {
   return {
     id: `${failureDomain}-${index}`,
-    bornAt: 1,
+    startedAt: 1,
     service: "planner",
     address: `10.0.0.${index}:1`,
     failureDomain,
@@ -65,7 +65,7 @@
         short: asked,
         long: asked,
         reading: asked / 2,
-        pauses: core.NO_PAUSES,
+        pauses: core.NO_TOKEN_PAUSES,
       },
     },
     running: {},
--- a/packages/banyangrade/routed/belief_task.ts
+++ b/packages/banyangrade/routed/belief_task.ts
@@ -56,7 +56,7 @@
 /** Follows the store and keeps a copy of the cluster state. */
 export class ClusterStateTask {
   readonly #options: ClusterStateOptions;
-  readonly #proof = new core.Proof();
+  readonly #proof = new core.FreshnessTracker();
   readonly #servers: core.ServerList;
   readonly #evacuations = new core.Evacuations();
   readonly #stops: (() => void)[] = [];
--- a/packages/banyangrade/routed/host_clocks.ts
+++ b/packages/banyangrade/routed/host_clocks.ts
@@ -9,7 +9,7 @@
   /** Returns the corrected time of day, Unix ms, independent of steps of the machine's clock. */
   readonly getTrueTime: () => number;
   /** Corrects the time of day by the times that other hosts published; returns the correction, in ms. */
-  readonly updateTrueTime: (times: core.OthersTime) => number;
+  readonly updateTrueTime: (times: core.PeerTimes) => number;
 }
 
 /**
@@ -20,7 +20,7 @@
  */
 export function createHostClocks(clock: utils.Clock): HostClocks {
   const suspensions = new core.SuspensionClock();
-  const trueClock = new core.TrueClock();
+  const trueClock = new core.CorrectedClock();
   const readClocks = () => ({ now: clock.now(), wall: clock.wall() });
   return {
     lease: { now: () => suspensions.read(readClocks()), wall: clock.wall },
--- a/packages/banyangrade/routed/host_updates.ts
+++ b/packages/banyangrade/routed/host_updates.ts
@@ -13,7 +13,7 @@
 export function describeHost(
   { settings, incarnation, clock, clocks, counter, dispatch, marks }: Parts,
 ): core.HostStatus {
-  marks.removeLapsed(clock.now());
+  marks.removeExpired(clock.now());
   return {
     host: settings.host,
     incarnation,
@@ -47,7 +47,10 @@
     const service = services.get(server.service);
     const limit = pools.getLimit(name, service?.connectionLimit ?? 0);
     const startMs = service?.coldStart?.startMs ?? 0;
-    const coldMs = coldStarts.getLeftMs(name, { startMs, now: clock.now() });
+    const coldMs = coldStarts.getRemainingMs(name, {
+      startMs,
+      now: clock.now(),
+    });
     const isEvacuated = belief.isEvacuated(server.failureDomain);
     return toServerInfo(server, { name, limit, isEvacuated, coldMs });
   });
@@ -108,7 +111,7 @@
 
 /** Returns a name that is unique to a server's incarnation: a restarted server keeps its identifier but has lost its state. */
 function getServerName(listed: core.ListedServer): string {
-  return `${listed.id}@${listed.bornAt}`;
+  return `${listed.id}@${listed.startedAt}`;
 }
 
 function toServerInfo(
@@ -133,7 +136,7 @@
   };
 }
 
-function toColdReport(listed: core.ListedServer): core.ColdWord {
+function toColdReport(listed: core.ListedServer): core.ColdReport {
   return {
     name: getServerName(listed),
     failureDomain: listed.failureDomain,
--- a/packages/banyangrade/routed/routed_parts.ts
+++ b/packages/banyangrade/routed/routed_parts.ts
@@ -42,7 +42,7 @@
   readonly dispatch: dispatchTask.DispatchTask;
   /** Recently lost servers, with the requests that they ran. */
   readonly marks: core.MarkSet;
-  readonly coldStarts: core.ColdStarts;
+  readonly coldStarts: core.ColdStartTracker;
   readonly relay: relayTask.RelayTask;
   readonly feed: relayedFeed.RelayedFeed;
   readonly belief: beliefTask.ClusterStateTask;
@@ -66,7 +66,7 @@
   poisonLimit: 3,
   // Callers retry after any loss, mostly at another host, so a request is not held
   // for a single loss that another host saw.
-  holdsForeign: false,
+  holdsRemote: false,
 };
 /** Time for which a lost server is reported to the other hosts, in ms; several status reports, so that each host receives it. */
 const SUSPECT_TTL_MS = 10_000;
@@ -121,7 +121,7 @@
       hosts: ASSUMED_HOSTS,
     }),
     marks: new core.MarkSet(),
-    coldStarts: new core.ColdStarts(),
+    coldStarts: new core.ColdStartTracker(),
   };
 }
 
--- a/packages/core/admission_control.ts
+++ b/packages/core/admission_control.ts
@@ -50,7 +50,7 @@
   if (state.suspects.isPoison(request.fingerprint)) {
     return { code: "poison_request" };
   }
-  const holdMs = state.suspects.getHold(request.fingerprint, state.now);
+  const holdMs = state.suspects.getHoldMs(request.fingerprint, state.now);
   if (holdMs > 0) return { code: "poison_request", waitMs: holdMs };
   const isServed = overflow.hasLocalServer(state, request) ||
     overflow.mayOverflow(state, request);
--- a/packages/core/allocation.ts
+++ b/packages/core/allocation.ts
@@ -105,7 +105,7 @@
         const counts = this.#countRunning(capacity.pool);
         const running = (info: events.ServerInfo) => counts.get(info.name) ?? 0;
         return capacity.servers.toSorted((a, b) => running(a) - running(b))
-          .slice(0, constants.LENT_SERVERS);
+          .slice(0, constants.MAX_LENT_SERVERS);
       });
   }
 
--- a/packages/core/attempt_end.ts
+++ b/packages/core/attempt_end.ts
@@ -1,6 +1,6 @@
 /** Ends of attempts: completed answers, failures, retries, cancellation and preemption. */
 import * as attempts from "./attempts.ts";
-import * as domainSilence from "./domain_silence.ts";
+import * as domainFailureDetector from "./domain_failure_detector.ts";
 import type * as events from "./events.ts";
 import * as hostState from "./host_state.ts";
 import * as progress from "./progress.ts";
@@ -122,8 +122,8 @@
   if (failureDomain === undefined) return;
   if (failureDomain === state.failureDomain) return;
   const { now } = state;
-  if (state.silences.recordSilent({ name, failureDomain }, now)) {
-    domainSilence.abandonDomain(state.table.listServers(), {
+  if (state.domainFailures.recordUnresponsive({ name, failureDomain }, now)) {
+    domainFailureDetector.ejectDomain(state.table.listServers(), {
       failureDomain,
       now,
     });
@@ -246,7 +246,7 @@
   )
     .forEach((entry) => {
       const { fingerprint } = entry.request;
-      const isHeld = state.suspects.getHold(fingerprint, state.now) > 0;
+      const isHeld = state.suspects.getHoldMs(fingerprint, state.now) > 0;
       if (!isHeld && !state.suspects.isPoison(fingerprint)) {
         return state.queue.add({ ...entry, suspect: true });
       }
--- a/packages/core/cold_turns.ts
+++ b/packages/core/cold_permits.ts
@@ -38,7 +38,7 @@
 }
 
 /** The permits of one host for cold servers. */
-export class ColdTurns {
+export class ColdServerPermits {
   readonly #random: utils.Random;
   readonly #states = new Map<string, PermitState>();
   #hosts: number | undefined;
@@ -71,7 +71,7 @@
   }
 
   /** Uses up the current permit for a pool. */
-  take(pool: string): void {
+  use(pool: string): void {
     const known = this.#states.get(pool);
     if (known === undefined) return;
     this.#states.set(pool, { ...known, expiresAt: -Infinity });
--- a/packages/core/cold_turns_fuzz_test.ts
+++ b/packages/core/cold_permits_fuzz_test.ts
@@ -49,7 +49,7 @@
   const sent = Array.from({ length: servers }, (): number[] => []);
   hosts.forEach((host) => {
     const createPermits = () => {
-      const permits = new core.ColdTurns({
+      const permits = new core.ColdServerPermits({
         random: utils.createRandom(random.below(2 ** 31)),
       });
       permits.setHosts(Math.ceil(hosts.length * host.knownShare));
@@ -71,7 +71,7 @@
       }
       if (now < host.busyFrom) continue;
       if (!permits.has(pool, now - pausedMs)) continue;
-      permits.take(pool.name);
+      permits.use(pool.name);
       sent[random.below(servers)].push(now);
     }
   });
@@ -126,7 +126,7 @@
 // Guards against a host that sends more than its share because it has just
 // started and does not know of the other hosts yet.
 tap.test("a host gets no permit before it knows the number of hosts", (t) => {
-  const permits = new core.ColdTurns({ random: utils.createRandom(1) });
+  const permits = new core.ColdServerPermits({ random: utils.createRandom(1) });
   const pool = { name: "pool", servers: 1, mostPerSecond: MOST_PER_SECOND };
   t.notOk(permits.has(pool, 0));
   t.notOk(permits.has(pool, 60_000));
--- a/packages/core/cold_return_test.ts
+++ b/packages/core/cold_return_test.ts
@@ -21,7 +21,9 @@
 const LOAD_REPORT_MS = 1_000;
 const MOST_PER_SECOND = 20;
 
-function startHosts(coldStart: core.ColdStart | undefined): core.Dispatcher[] {
+function startHosts(
+  coldStart: core.ColdStartLimits | undefined,
+): core.Dispatcher[] {
   return Array.from({ length: HOSTS }, (_, index) => {
     const failureDomain = DOMAINS[index % DOMAINS.length];
     const pool: core.PoolPart = {
@@ -88,7 +90,7 @@
  * domain that comes back was sent a request, and the number of requests that
  * started in all failure domains.
  */
-function replayReturn(coldStart?: core.ColdStart) {
+function replayReturn(coldStart?: core.ColdStartLimits) {
   const hosts = startHosts(coldStart);
   const random = utils.createRandom(5);
   const sentTimes = new Map<string, number[]>();
--- a/packages/core/cold_starts.ts
+++ b/packages/core/cold_starts.ts
@@ -6,7 +6,7 @@
  */
 
 /** Limits for the servers of a service that are cold after a start. */
-export interface ColdStart {
+export interface ColdStartLimits {
   /** Time for which a server is cold after it starts, in ms. */
   readonly startMs: number;
   /** Maximum number of requests that all hosts together may send to a cold server within any second. */
@@ -14,7 +14,7 @@
 }
 
 /** The cold state that a backend server reports. */
-export interface ColdWord {
+export interface ColdReport {
   /** Identifier of the server's incarnation. */
   readonly name: string;
   readonly failureDomain: string;
@@ -25,13 +25,13 @@
 }
 
 interface ReceivedReport {
-  readonly report: ColdWord;
+  readonly report: ColdReport;
   /** Time at which the host received the report, monotonic ms. */
   readonly at: number;
 }
 
 /** The latest cold state of each backend server, as received by this host. */
-export class ColdStarts {
+export class ColdStartTracker {
   readonly #received = new Map<string, ReceivedReport>();
   /** Time at which each failure domain came back into use, monotonic ms. */
   readonly #returnedAt = new Map<string, number>();
@@ -41,7 +41,7 @@
    * with the same revision keeps its first receive time: the server's cold time
    * would otherwise start again with each read of the list.
    */
-  setAll(reports: readonly ColdWord[], now: number): void {
+  setAll(reports: readonly ColdReport[], now: number): void {
     const listed = new Set(reports.map(({ name }) => name));
     [...this.#received.keys()].filter((name) => !listed.has(name))
       .forEach((name) => this.#received.delete(name));
@@ -58,7 +58,7 @@
   }
 
   /** Returns the remaining time for which a server counts as cold, in ms; 0 if it is warm. */
-  getLeftMs(
+  getRemainingMs(
     name: string,
     { startMs, now }: { readonly startMs: number; readonly now: number },
   ): number {
--- a/packages/core/cold_starts_test.ts
+++ b/packages/core/cold_starts_test.ts
@@ -5,7 +5,7 @@
 const tap = tapModule.default;
 const START_MS = 3_000;
 
-function buildReport(changes: Partial<core.ColdWord> = {}): core.ColdWord {
+function buildReport(changes: Partial<core.ColdReport> = {}): core.ColdReport {
   return {
     name: "s1@1",
     failureDomain: "a",
@@ -16,15 +16,15 @@
 }
 
 function getRemaining(
-  starts: core.ColdStarts,
+  starts: core.ColdStartTracker,
   now: number,
   name = "s1@1",
 ) {
-  return starts.getLeftMs(name, { startMs: START_MS, now });
+  return starts.getRemainingMs(name, { startMs: START_MS, now });
 }
 
 tap.test("a server is cold for the time that it reports", (t) => {
-  const starts = new core.ColdStarts();
+  const starts = new core.ColdStartTracker();
   starts.setAll([buildReport({ coldMs: 2_000 })], 100);
   t.equal(getRemaining(starts, 100), 2_000);
   t.equal(getRemaining(starts, 1_100), 1_000);
@@ -39,7 +39,7 @@
 // Guards against full load on a cold server whose report is missing, or whose
 // entry has no cold time.
 tap.test("a server without a report counts as just started", (t) => {
-  const starts = new core.ColdStarts();
+  const starts = new core.ColdStartTracker();
   t.equal(getRemaining(starts, 0), START_MS);
   starts.setAll([buildReport({ coldMs: undefined })], 1_000);
   t.equal(getRemaining(starts, 2_000), 2_000);
@@ -50,7 +50,7 @@
 // Guards against full load on cold servers when an evacuated failure domain is
 // used again: the servers' last reports date from before the evacuation.
 tap.test("servers are cold when their failure domain is used again", (t) => {
-  const starts = new core.ColdStarts();
+  const starts = new core.ColdStartTracker();
   starts.setAll(
     [buildReport(), buildReport({ name: "s2@1", failureDomain: "b" })],
     0,
--- a/packages/core/config.ts
+++ b/packages/core/config.ts
@@ -66,7 +66,7 @@
   /** Largest number of servers to which the autoscaler may grow the pool. */
   readonly maxServers: number;
   /** Limits for the servers while they are cold after a start. @default no limits */
-  readonly coldStart?: coldStarts.ColdStart;
+  readonly coldStart?: coldStarts.ColdStartLimits;
 }
 
 /** A plain service, and which of its calls may be retried. */
@@ -78,10 +78,15 @@
 }
 
 /** One part of the configuration. */
-export type Part = ClassPart | CustomerPart | KeyPart | PoolPart | ServicePart;
+export type ConfigPart =
+  | ClassPart
+  | CustomerPart
+  | KeyPart
+  | PoolPart
+  | ServicePart;
 
 /** Identifier of a part, unique within the configuration. */
-export type PartId = `${Part["kind"]}/${string}`;
+export type ConfigPartId = `${ConfigPart["kind"]}/${string}`;
 
 /** The configuration in force at one revision. */
 export interface Configuration {
@@ -112,7 +117,7 @@
  * @example
  * getPartId(part); // "class/counter"
  */
-export function getPartId(part: Part): PartId {
+export function getPartId(part: ConfigPart): ConfigPartId {
   return `${part.kind}/${part.name}`;
 }
 
@@ -122,8 +127,8 @@
  * @example
  * listParts(EMPTY_CONFIGURATION); // []
  */
-export function listParts(configuration: Configuration): Part[] {
-  const parts: Part[] = [
+export function listParts(configuration: Configuration): ConfigPart[] {
+  const parts: ConfigPart[] = [
     ...configuration.classes.values(),
     ...configuration.customers.values(),
     ...configuration.keys.values(),
--- a/packages/core/config_log.ts
+++ b/packages/core/config_log.ts
@@ -12,8 +12,8 @@
   readonly revision: number;
   /** Digest of the log up to the previous revision. */
   readonly previousDigest: string;
-  readonly puts: readonly config.Part[];
-  readonly removes: readonly config.PartId[];
+  readonly puts: readonly config.ConfigPart[];
+  readonly removes: readonly config.ConfigPartId[];
   /** Who published the change, for the audit trail. */
   readonly author: string;
   /** Unique per publication attempt; shows a writer that lost the store's response whether its change was committed. */
@@ -69,7 +69,7 @@
 }
 
 /** Copies a map only if the change affects its kind, because most changes affect one kind. */
-function updateParts<P extends config.Part>(
+function updateParts<P extends config.ConfigPart>(
   parts: ReadonlyMap<string, P>,
   kind: P["kind"],
   change: ConfigChange,
@@ -88,7 +88,7 @@
 export interface ConfigSnapshot {
   readonly revision: number;
   readonly digest: string;
-  readonly parts: readonly config.Part[];
+  readonly parts: readonly config.ConfigPart[];
 }
 
 /**
@@ -127,8 +127,8 @@
 
 /** The changes that turn a configuration into the wanted one. */
 export interface ConfigDifference {
-  readonly puts: readonly config.Part[];
-  readonly removes: readonly config.PartId[];
+  readonly puts: readonly config.ConfigPart[];
+  readonly removes: readonly config.ConfigPartId[];
 }
 
 /**
@@ -141,8 +141,8 @@
 export function computeDifference(
   configuration: config.Configuration,
   options: {
-    readonly wanted: readonly config.Part[];
-    readonly owned: readonly config.Part["kind"][];
+    readonly wanted: readonly config.ConfigPart[];
+    readonly owned: readonly config.ConfigPart["kind"][];
   },
 ): ConfigDifference {
   const current = new Map(
--- a/packages/core/constants.ts
+++ b/packages/core/constants.ts
@@ -33,20 +33,20 @@
 export const GRANT_VALID_MS = 3_000;
 
 /** Age up to which another failure domain's report on its free slots is used, in ms. */
-export const OVERFLOW_KNOWN_MS = 2_000;
+export const OVERFLOW_REPORT_VALID_MS = 2_000;
 /** Maximum number of servers that a failure domain lends to one host of another failure domain at a time. */
-export const LENT_SERVERS = 4;
+export const MAX_LENT_SERVERS = 4;
 
 /** Share of a request's maximum queue time after which lower-priority work is preempted for it. */
-export const PREEMPT_AT_SLACK = 0.5;
+export const PREEMPT_AT_QUEUE_TIME_SHARE = 0.5;
 /** Share of a request's latency target after which lower-priority work is preempted for it. */
-export const PREEMPT_AT_TARGET = 0.25;
+export const PREEMPT_AT_TARGET_SHARE = 0.25;
 
 /** Time that an overdue request gets to start after work is preempted or recalled for it, in ms. */
 export const POSTPONE_MS = 100;
 
 /** Maximum number of times that an overdue request gets this time while other hosts return slots. */
-export const MAX_POSTPONED = 10;
+export const MAX_POSTPONEMENTS = 10;
 
 /** Maximum number of requests queued at a host, over all classes. */
 export const MAX_QUEUED = 20_000;
@@ -54,15 +54,15 @@
 /** Prefix affinity applies while the server's load is below this multiple of the mean load. */
 export const AFFINITY_LOAD_BOUND = 1.25;
 /** One in this many routing decisions ignores that a server seems too slow, to measure whether it still is. */
-export const PROBE_ONE_IN = 50;
+export const SPEED_PROBE_ONE_IN = 50;
 /** Largest time between tokens at which a server is chosen for a class, as a share of the class's target. */
-export const SPEED_MARGIN = 0.9;
+export const TOKEN_TIME_TARGET_SHARE = 0.9;
 /** Number of tokens of a stream over which the time between tokens is measured. */
 export const SPEED_SAMPLE_TOKENS = 8;
 /** Number of prompt tokens in prefill that slow a server as much as one running request. */
 export const PROMPT_TOKENS_PER_LOAD = 500;
 /** Weight of each stream of a higher tier that the prefill of a long prompt would delay. */
-export const DISTURBANCE = 0.3;
+export const DELAYED_STREAM_WEIGHT = 0.3;
 /** Maximum number of prompt prefixes that are remembered for affinity. */
 export const MAX_PREFIXES = 20_000;
 
--- a/packages/core/deadline_checks.ts
+++ b/packages/core/deadline_checks.ts
@@ -122,7 +122,7 @@
   const isGrantFresh =
     state.now - state.grantDemandAt <= constants.GRANT_VALID_MS;
   const pools = hostState.listPoolsFor(state, request);
-  return isGrantFresh && entry.postponements < constants.MAX_POSTPONED &&
+  return isGrantFresh && entry.postponements < constants.MAX_POSTPONEMENTS &&
     admissionEstimates.hasLowerTierWorkElsewhere(request.tier, pools);
 }
 
--- a/packages/core/dispatcher.ts
+++ b/packages/core/dispatcher.ts
@@ -140,7 +140,7 @@
       );
     case "load_shared":
       state.table.recordAllElsewhere(event, event.asOf);
-      state.coldTurns.setHosts(event.hosts);
+      state.coldPermits.setHosts(event.hosts);
       return dispatching.dispatchQueue(state);
     case "servers_changed":
       state.table.setServers(event.servers, state.now);
@@ -158,7 +158,7 @@
     case "overflow_granted":
       return grants.setOverflow(state, event);
     case "suspected":
-      event.marks.forEach((mark) => state.suspects.addForeign(mark, state.now));
+      event.marks.forEach((mark) => state.suspects.addRemote(mark, state.now));
       return attemptEnd.separateSuspects(state, event.marks);
     case "cleared":
       event.fingerprints.forEach((fingerprint) =>
--- a/packages/core/dispatching.ts
+++ b/packages/core/dispatching.ts
@@ -131,7 +131,7 @@
   server: serverState.ServerState,
 ): void {
   if (!serverState.isCold(server, state.now)) return;
-  state.coldTurns.take(server.info.pool);
+  state.coldPermits.use(server.info.pool);
 }
 
 /** Estimates the cost of a request in generated tokens; a call costs 1. */
--- a/packages/core/domain_silence.ts
+++ b/packages/core/domain_failure_detector.ts
@@ -21,7 +21,7 @@
 }
 
 /** Tracks the unresponsive servers of each failure domain. */
-export class DomainSilences {
+export class DomainFailureDetector {
   readonly #unresponsiveSince = new Map<string, Map<string, number>>();
 
   /**
@@ -29,7 +29,7 @@
    * counts as unreachable: enough of its servers did not respond within the time
    * window, and no server there has answered since.
    */
-  recordSilent(
+  recordUnresponsive(
     { name, failureDomain }: UnresponsiveServer,
     now: number,
   ): boolean {
@@ -43,7 +43,7 @@
   }
 
   /** Records that a server of a failure domain answered. */
-  recordHeard(failureDomain: string): void {
+  recordResponse(failureDomain: string): void {
     this.#unresponsiveSince.delete(failureDomain);
   }
 }
@@ -55,7 +55,7 @@
  * @example
  * abandonDomain(table.listServers(), { failureDomain: "rosenheim", now });
  */
-export function abandonDomain(
+export function ejectDomain(
   servers: readonly serverState.ServerState[],
   { failureDomain, now }: {
     readonly failureDomain: string;
--- a/packages/core/domain_silence_test.ts
+++ b/packages/core/domain_failure_detector_test.ts
@@ -127,14 +127,14 @@
 // Guards against the ejection of a healthy failure domain in which two servers
 // crashed.
 tap.test("a failure domain in which a server answers is not unreachable", (t) => {
-  const detector = new core.DomainSilences();
-  t.notOk(detector.recordSilent({ name: "b1", failureDomain: "b" }, 0));
-  detector.recordHeard("b");
-  t.notOk(detector.recordSilent({ name: "b2", failureDomain: "b" }, 100));
+  const detector = new core.DomainFailureDetector();
+  t.notOk(detector.recordUnresponsive({ name: "b1", failureDomain: "b" }, 0));
+  detector.recordResponse("b");
+  t.notOk(detector.recordUnresponsive({ name: "b2", failureDomain: "b" }, 100));
   t.notOk(
-    detector.recordSilent({ name: "b3", failureDomain: "b" }, 2_500),
+    detector.recordUnresponsive({ name: "b3", failureDomain: "b" }, 2_500),
     "too long after the previous server",
   );
-  t.ok(detector.recordSilent({ name: "b4", failureDomain: "b" }, 2_600));
+  t.ok(detector.recordUnresponsive({ name: "b4", failureDomain: "b" }, 2_600));
   t.end();
 });
--- a/packages/core/engine_division.ts
+++ b/packages/core/engine_division.ts
@@ -46,7 +46,7 @@
   /** Average number of requests whose prompt awaits prefill. */
   readonly reading: number;
   /** Gaps between tokens of streams that share an engine with long prompts. */
-  readonly pauses: pauses.PauseCounts;
+  readonly pauses: pauses.TokenPauseCounts;
 }
 
 /** Engines of a service and the demand of all hosts for them. */
@@ -79,7 +79,7 @@
 }
 
 function mayMix(
-  { seen, long }: pauses.PauseCounts,
+  { seen, long }: pauses.TokenPauseCounts,
   previous: EngineDivision,
 ): boolean {
   const isMixed = previous.kind === "mixed";
--- a/packages/core/engine_division_test.ts
+++ b/packages/core/engine_division_test.ts
@@ -22,7 +22,7 @@
       short: 0,
       long: 0,
       reading: 0,
-      pauses: core.NO_PAUSES,
+      pauses: core.NO_TOKEN_PAUSES,
       ...demand,
     },
     engines: 40,
@@ -107,12 +107,12 @@
 
 // Guards against a short disturbance that keeps engines divided for good.
 tap.test("the weight of observed gaps decays", (t) => {
-  const counter = new core.PauseCounter();
+  const counter = new core.TokenPauseCounter();
   Array.from({ length: 100 }).forEach(() => counter.record("planner", true, 0));
   t.same(counter.get("planner", 0), { seen: 100, long: 100 });
   t.same(counter.get("planner", 10_000), { seen: 50, long: 50 });
   counter.record("planner", false, 10_000);
   t.same(counter.get("planner", 10_000), { seen: 51, long: 50 });
-  t.same(counter.get("other", 0), core.NO_PAUSES);
+  t.same(counter.get("other", 0), core.NO_TOKEN_PAUSES);
   t.end();
 });
--- a/packages/core/freshness.ts
+++ b/packages/core/freshness.ts
@@ -39,7 +39,7 @@
 }
 
 /** The latest time at which cached state is known to have been current. */
-export class Proof {
+export class FreshnessTracker {
   #currentAt = Number.NEGATIVE_INFINITY;
 
   /** Records a read that was sent at `sentAt` and confirmed the cached state. */
@@ -57,7 +57,7 @@
 const MAX_SKEW_MS = 1_000;
 
 /** The times that other hosts have published. */
-export interface OthersTime {
+export interface PeerTimes {
   /** Corrected wall-clock time of each other host, extrapolated to now; slightly late because of the transmission. */
   readonly others: readonly number[];
 }
@@ -68,7 +68,7 @@
  * monotonic clock, the cause is either a clock step, which must be ignored, or
  * a suspension, which must be followed; the times of the other hosts show which.
  */
-export class TrueClock {
+export class CorrectedClock {
   #offset: number | undefined;
 
   /** Returns the corrected wall-clock time. */
@@ -78,7 +78,7 @@
   }
 
   /** Compares the clock with the median time of the other hosts and corrects it; returns the correction in ms. */
-  update(reading: ClockReading, { others }: OthersTime): number {
+  update(reading: ClockReading, { others }: PeerTimes): number {
     if (others.length === 0) return 0;
     const sorted = others.toSorted((a, b) => a - b);
     const median = sorted[Math.floor(sorted.length / 2)];
--- a/packages/core/freshness_test.ts
+++ b/packages/core/freshness_test.ts
@@ -10,7 +10,7 @@
 // meanwhile. After the suspension the cached configuration must not seem fresh.
 tap.test("a suspension counts in the age of cached state", (t) => {
   const clock = new core.SuspensionClock();
-  const proof = new core.Proof();
+  const proof = new core.FreshnessTracker();
   proof.confirm(clock.read({ now: 1_000, wall: START }));
   const awake = clock.read({ now: 1_010, wall: START + 5_010 });
   t.equal(proof.getAge(awake), 5_010);
@@ -31,7 +31,7 @@
 // Guards against requests that are counted in the wrong usage window because
 // the wall clock of one host steps two seconds forward.
 tap.test("a step of the wall clock does not move the corrected time", (t) => {
-  const clock = new core.TrueClock();
+  const clock = new core.CorrectedClock();
   clock.read({ now: 0, wall: START });
   const reading = { now: 1_000, wall: START + 3_000 };
   clock.update(reading, {
@@ -45,7 +45,7 @@
 // times of the other hosts show that the wall clock is right and the monotonic
 // clock is behind.
 tap.test("after a suspension the corrected time follows the wall clock", (t) => {
-  const clock = new core.TrueClock();
+  const clock = new core.CorrectedClock();
   clock.read({ now: 0, wall: START });
   const reading = { now: 1_000, wall: START + 8_000 };
   clock.update(reading, {
@@ -58,7 +58,7 @@
 // Guards against a host that keeps a wrong time because its wall clock was
 // already wrong when it started.
 tap.test("a host that starts with a wrong clock takes the other hosts' time", (t) => {
-  const clock = new core.TrueClock();
+  const clock = new core.CorrectedClock();
   const reading = { now: 500, wall: START + 60_000 };
   clock.read(reading);
   clock.update(reading, {
--- a/packages/core/host_state.ts
+++ b/packages/core/host_state.ts
@@ -2,10 +2,10 @@
 import type * as utils from "@banyangrade/utils";
 import type * as admissionEstimates from "./admission_estimates.ts";
 import * as attempts from "./attempts.ts";
-import * as coldTurns from "./cold_turns.ts";
+import * as coldPermits from "./cold_permits.ts";
 import type * as config from "./config.ts";
 import * as constants from "./constants.ts";
-import * as domainSilence from "./domain_silence.ts";
+import * as domainFailureDetector from "./domain_failure_detector.ts";
 import * as engineChoice from "./engine_choice.ts";
 import type * as events from "./events.ts";
 import * as fairness from "./fairness.ts";
@@ -14,7 +14,7 @@
 import * as preemption from "./preemption.ts";
 import * as quarantine from "./quarantine.ts";
 import * as queue from "./queue.ts";
-import * as reading from "./reading.ts";
+import * as reading from "./prefill_averages.ts";
 import * as refusals from "./refusals.ts";
 import type * as request from "./request.ts";
 import * as retry from "./retry.ts";
@@ -63,13 +63,13 @@
   readonly suspects: quarantine.SuspectTable;
   readonly prompts: engineChoice.PromptLengths;
   /** Average number of requests whose prompt is not prefilled yet, by target. */
-  readonly reading: reading.ReadingAverages;
+  readonly reading: reading.PrefillAverages;
   /** Pauses of streams whose engine prefills long prompts. */
-  readonly pauses: pauses.PauseCounter;
+  readonly pauses: pauses.TokenPauseCounter;
   /** Unresponsive servers of other failure domains. */
-  readonly silences: domainSilence.DomainSilences;
+  readonly domainFailures: domainFailureDetector.DomainFailureDetector;
   /** When this host may send a request to a cold server. */
-  readonly coldTurns: coldTurns.ColdTurns;
+  readonly coldPermits: coldPermits.ColdServerPermits;
   readonly router: router.Router;
 }
 
@@ -82,7 +82,7 @@
 export function createHostState(options: HostStateOptions): HostState {
   const table = new servers.ServerTable(options);
   const prompts = new engineChoice.PromptLengths();
-  const turns = new coldTurns.ColdTurns(options);
+  const turns = new coldPermits.ColdServerPermits(options);
   return {
     now: 0,
     effects: [],
@@ -100,11 +100,16 @@
     credits: new fairness.ShareCredits(),
     suspects: new quarantine.SuspectTable(options.suspects),
     prompts,
-    reading: new reading.ReadingAverages(),
-    pauses: new pauses.PauseCounter(),
-    silences: new domainSilence.DomainSilences(),
-    coldTurns: turns,
-    router: new router.Router({ table, prompts, coldTurns: turns, ...options }),
+    reading: new reading.PrefillAverages(),
+    pauses: new pauses.TokenPauseCounter(),
+    domainFailures: new domainFailureDetector.DomainFailureDetector(),
+    coldPermits: turns,
+    router: new router.Router({
+      table,
+      prompts,
+      coldPermits: turns,
+      ...options,
+    }),
   };
 }
 
@@ -152,8 +157,9 @@
   request: request.Request,
 ): boolean {
   const maxDelayMs = Math.min(
-    constants.PREEMPT_AT_SLACK * (request.startBy - request.arrivedAt),
-    constants.PREEMPT_AT_TARGET * request.targetMs,
+    constants.PREEMPT_AT_QUEUE_TIME_SHARE *
+      (request.startBy - request.arrivedAt),
+    constants.PREEMPT_AT_TARGET_SHARE * request.targetMs,
   );
   return state.now - request.arrivedAt >= maxDelayMs;
 }
--- a/packages/core/host_statuses.ts
+++ b/packages/core/host_statuses.ts
@@ -67,7 +67,7 @@
   short: 0,
   long: 0,
   reading: 0,
-  pauses: pauses.NO_PAUSES,
+  pauses: pauses.NO_TOKEN_PAUSES,
 };
 
 /** Summary of an empty group of hosts. */
--- a/packages/core/host_statuses_test.ts
+++ b/packages/core/host_statuses_test.ts
@@ -130,16 +130,16 @@
   const suspects = new core.SuspectTable({
     isolateAfter: 2,
     poisonLimit: 3,
-    holdsForeign: false,
+    holdsRemote: false,
   });
   suspects.add({ fingerprint: "f", server: "s1" });
   t.notOk(suspects.isSuspect("f"));
-  suspects.addForeign({ fingerprint: "f", server: "s2" }, 0);
+  suspects.addRemote({ fingerprint: "f", server: "s2" }, 0);
   t.ok(suspects.isSuspect("f"));
-  t.equal(suspects.getHold("f", 0), 0);
-  suspects.addForeign({ fingerprint: "f", server: "s2" }, 0);
+  t.equal(suspects.getHoldMs("f", 0), 0);
+  suspects.addRemote({ fingerprint: "f", server: "s2" }, 0);
   t.notOk(suspects.isPoison("f"));
-  suspects.addForeign({ fingerprint: "f", server: "s3" }, 0);
+  suspects.addRemote({ fingerprint: "f", server: "s3" }, 0);
   t.ok(suspects.isPoison("f"));
   t.end();
 });
@@ -150,9 +150,9 @@
 tap.test("losses before a complete response do not count again", (t) => {
   const suspects = new core.SuspectTable({ isolateAfter: 2, poisonLimit: 3 });
   const marks = ["s1", "s2"].map((server) => ({ fingerprint: "f", server }));
-  marks.forEach((mark) => suspects.addForeign(mark, 0));
+  marks.forEach((mark) => suspects.addRemote(mark, 0));
   suspects.clear("f");
-  marks.forEach((mark) => suspects.addForeign(mark, 0));
+  marks.forEach((mark) => suspects.addRemote(mark, 0));
   suspects.add({ fingerprint: "f", server: "s3" });
   t.notOk(suspects.isSuspect("f"));
   suspects.add(marks[0]);
--- a/packages/core/overflow.ts
+++ b/packages/core/overflow.ts
@@ -98,7 +98,8 @@
   const { now } = state;
   return state.table.listPools().some((pool) => {
     if (!pool.remote || !hostState.isServedBy(request, pool)) return false;
-    const isGrantKnown = now - pool.grantedAt < constants.OVERFLOW_KNOWN_MS;
+    const isGrantKnown =
+      now - pool.grantedAt < constants.OVERFLOW_REPORT_VALID_MS;
     return !isGrantKnown || !pool.short.includes(request.className) ||
       serverState.isWithinGrant(pool, { className: request.className, now });
   });
--- a/packages/core/pauses.ts
+++ b/packages/core/pauses.ts
@@ -10,7 +10,7 @@
 const HALF_LIFE_MS = 10_000;
 
 /** Numbers of pauses during the prefill of a long prompt; the weight of a pause decays with its age. */
-export interface PauseCounts {
+export interface TokenPauseCounts {
   /** All pauses. */
   readonly seen: number;
   /** Pauses longer than the tightest target of the service. */
@@ -18,11 +18,14 @@
 }
 
 /** Counts without any pause. */
-export const NO_PAUSES: PauseCounts = { seen: 0, long: 0 };
+export const NO_TOKEN_PAUSES: TokenPauseCounts = { seen: 0, long: 0 };
 
 /** Counts pauses, by target. */
-export class PauseCounter {
-  readonly #counts = new Map<string, PauseCounts & { readonly at: number }>();
+export class TokenPauseCounter {
+  readonly #counts = new Map<
+    string,
+    TokenPauseCounts & { readonly at: number }
+  >();
 
   record(target: string, isLong: boolean, now: number): void {
     const { seen, long } = this.get(target, now);
@@ -33,9 +36,9 @@
     });
   }
 
-  get(target: string, now: number): PauseCounts {
+  get(target: string, now: number): TokenPauseCounts {
     const known = this.#counts.get(target);
-    if (known === undefined) return NO_PAUSES;
+    if (known === undefined) return NO_TOKEN_PAUSES;
     const weight = 2 ** ((known.at - now) / HALF_LIFE_MS);
     return { seen: weight * known.seen, long: weight * known.long };
   }
--- a/packages/core/reading.ts
+++ b/packages/core/prefill_averages.ts
@@ -18,7 +18,7 @@
 }
 
 /** Averages the number of requests in prefill, by target. */
-export class ReadingAverages {
+export class PrefillAverages {
   readonly #averages = new Map<string, Average>();
 
   /** Records the current numbers by target; a missing target counts as 0. */
--- a/packages/core/reading_test.ts
+++ b/packages/core/prefill_averages_test.ts
@@ -5,7 +5,7 @@
 const tap = tapModule.default;
 
 tap.test("the average follows a lasting load, not a short peak", (t) => {
-  const averages = new core.ReadingAverages();
+  const averages = new core.PrefillAverages();
   const counts = new Map([["planner", 4]]);
   averages.record(counts, 0);
   [20, 40, 60].forEach((now) => averages.record(counts, now));
--- a/packages/core/progress.ts
+++ b/packages/core/progress.ts
@@ -40,7 +40,9 @@
   state: hostState.HostState,
   { info: { failureDomain } }: serverState.ServerState,
 ): void {
-  if (failureDomain !== undefined) state.silences.recordHeard(failureDomain);
+  if (failureDomain !== undefined) {
+    state.domainFailures.recordResponse(failureDomain);
+  }
 }
 
 /**
--- a/packages/core/quarantine.ts
+++ b/packages/core/quarantine.ts
@@ -32,7 +32,7 @@
   /** Number of servers lost to a request at which it is refused. @default constants.POISON_LIMIT */
   readonly poisonLimit?: number;
   /** Whether copies of a request are refused while another host may be retrying it. @default true */
-  readonly holdsForeign?: boolean;
+  readonly holdsRemote?: boolean;
 }
 
 /** Maps request fingerprints to the servers that were lost while these requests were in flight. */
@@ -45,7 +45,7 @@
   constructor(options: SuspectOptions = {}) {
     this.#isolateAfter = options.isolateAfter ?? 1;
     this.#poisonLimit = options.poisonLimit ?? constants.POISON_LIMIT;
-    this.#holdsRemote = options.holdsForeign ?? true;
+    this.#holdsRemote = options.holdsRemote ?? true;
   }
 
   /** Adds a mark that this host made. */
@@ -59,7 +59,7 @@
    * Adds a mark that another host made. That host may be retrying the request on
    * a second server now; a copy that ran here at the same time could crash a third.
    */
-  addForeign(mark: events.SuspectMark, now: number): void {
+  addRemote(mark: events.SuspectMark, now: number): void {
     const suspect = this.#get(mark.fingerprint);
     const { servers, cleared } = suspect;
     if (servers.has(mark.server) || cleared.has(mark.server)) return;
@@ -107,7 +107,7 @@
   }
 
   /** Returns how much longer copies of the request are refused because another host may be running it, in ms. */
-  getHold(fingerprint: string, now: number): number {
+  getHoldMs(fingerprint: string, now: number): number {
     const until = this.#suspects.get(fingerprint)?.heldUntil ?? 0;
     return Math.max(0, until - now);
   }
@@ -136,7 +136,7 @@
   }
 
   /** Removes the expired marks; returns the fingerprints that have no mark left. */
-  removeLapsed(wall: number): string[] {
+  removeExpired(wall: number): string[] {
     const expired = [...this.#marks].filter(([, mark]) => mark.until <= wall);
     expired.forEach(([id]) => this.#marks.delete(id));
     const remaining = new Set(this.list().map((mark) => mark.fingerprint));
--- a/packages/core/router.ts
+++ b/packages/core/router.ts
@@ -7,7 +7,7 @@
  */
 import * as lru from "lru-cache";
 import type * as utils from "@banyangrade/utils";
-import type * as coldTurns from "./cold_turns.ts";
+import type * as coldPermits from "./cold_permits.ts";
 import * as constants from "./constants.ts";
 import * as engineChoice from "./engine_choice.ts";
 import * as engineDivision from "./engine_division.ts";
@@ -28,7 +28,7 @@
   /** Whether prefix affinity is used. @default true */
   readonly affinity?: boolean;
   readonly prompts: engineChoice.PromptLengths;
-  readonly coldTurns: coldTurns.ColdTurns;
+  readonly coldPermits: coldPermits.ColdServerPermits;
   /** Whether engines are compared by prompt tokens that await prefill; used by hosts without slot grants. @default false */
   readonly comparesPrompts?: boolean;
   /** Whether this host has an idle connection to a server. @default none */
@@ -67,7 +67,7 @@
   readonly #failureDomain: string;
   readonly #affinity: boolean;
   readonly #prompts: engineChoice.PromptLengths;
-  readonly #coldTurns: coldTurns.ColdTurns;
+  readonly #coldPermits: coldPermits.ColdServerPermits;
   readonly #comparesPrompts: boolean;
   readonly #isConnected: (server: string) => boolean;
   readonly #divisions = new Map<string, engineDivision.EngineDivision>();
@@ -81,7 +81,7 @@
     this.#failureDomain = options.failureDomain;
     this.#affinity = options.affinity ?? true;
     this.#prompts = options.prompts;
-    this.#coldTurns = options.coldTurns;
+    this.#coldPermits = options.coldPermits;
     this.#comparesPrompts = options.comparesPrompts ?? false;
     this.#isConnected = options.isConnected ?? (() => false);
   }
@@ -100,7 +100,7 @@
     // Under load most classes have used up their grants. Returning here avoids
     // a scan over all servers.
     if (pools.size === 0) return undefined;
-    const poolsWithColdTurn = this.#findColdTurns(pools, options.now);
+    const poolsWithColdTurn = this.#findColdPermits(pools, options.now);
     const isEligible = (server: serverState.ServerState) =>
       pools.has(server.info.pool) && serverState.mayRunAt(server, request) &&
       serverEligibility.isEligible(server, options) &&
@@ -134,8 +134,10 @@
     const preferred = this.#table.listPreferredFor(request.target);
     // A server whose time between tokens exceeds the target of the class would
     // certainly miss it, so the request stays queued for a faster server.
-    const probesSlowServers = this.#random.below(constants.PROBE_ONE_IN) === 0;
-    const maxTokenMs = constants.SPEED_MARGIN * request.targetBetweenMs;
+    const probesSlowServers =
+      this.#random.below(constants.SPEED_PROBE_ONE_IN) === 0;
+    const maxTokenMs = constants.TOKEN_TIME_TARGET_SHARE *
+      request.targetBetweenMs;
     const isFast = (server: serverState.ServerState) =>
       (probesSlowServers || server.tokenMs <= maxTokenMs) && isUsable(server);
     const isLocal = (server: serverState.ServerState) =>
@@ -303,7 +305,7 @@
     const prompting = server.prompting / constants.PROMPT_TOKENS_PER_LOAD;
     // The prefill of a long prompt delays the tokens of all streams that the
     // server is running.
-    const interference = constants.DISTURBANCE *
+    const interference = constants.DELAYED_STREAM_WEIGHT *
       serverEligibility.countHigherTiers(server, request.tier) *
       request.promptTokens /
       constants.PROMPT_TOKENS_PER_LOAD;
@@ -326,7 +328,7 @@
   }
 
   /** Finds the pools to whose cold servers this host may send a request now. */
-  #findColdTurns(
+  #findColdPermits(
     pools: ReadonlySet<string>,
     now: number,
   ): ReadonlySet<string> {
@@ -336,7 +338,7 @@
     const usable = rateLimited.filter((
       { part: { name, coldStart, targets } },
     ) =>
-      this.#coldTurns.has({
+      this.#coldPermits.has({
         name,
         servers: this.#countCold(name, { target: targets[0], now }),
         mostPerSecond: coldStart?.mostPerSecond ?? 0,
--- a/packages/core/server_list.ts
+++ b/packages/core/server_list.ts
@@ -17,7 +17,7 @@
   readonly slots: number;
   readonly state: "ready" | "draining";
   /** Start time of this incarnation, Unix ms; a new incarnation has no state of the previous one. */
-  readonly bornAt: number;
+  readonly startedAt: number;
   /** Whether the server is spot capacity, which may be reclaimed at short notice. */
   readonly spot: boolean;
   /** Remaining cold time when the entry was written, in ms; undefined if the entry does not contain it. */
--- a/packages/core/server_list_test.ts
+++ b/packages/core/server_list_test.ts
@@ -16,7 +16,7 @@
     failureDomain: "a",
     slots: 4,
     state: "ready",
-    bornAt: 1,
+    startedAt: 1,
     spot: false,
     coldMs: 0,
     revision: 1,
--- a/packages/core/server_state.ts
+++ b/packages/core/server_state.ts
@@ -170,7 +170,7 @@
  * servers.
  *
  * @example
- * const turns = isCold(server, now) ? coldTurns : undefined;
+ * const permits = isCold(server, now) ? coldPermits : undefined;
  */
 export function isCold(server: ServerState, now: number): boolean {
   return now < server.coldUntil && server.pool.coldStart !== undefined;
--- a/packages/core/testing.ts
+++ b/packages/core/testing.ts
@@ -45,7 +45,7 @@
  * buildConfiguration([buildClass(1), POOL]);
  */
 export function buildConfiguration(
-  puts: readonly core.Part[],
+  puts: readonly core.ConfigPart[],
 ): core.Configuration {
   return core.applyChange(core.EMPTY_CONFIGURATION, {
     revision: 1,
--- a/packages/operator/publish.ts
+++ b/packages/operator/publish.ts
@@ -25,7 +25,10 @@
  */
 export async function publishParts(
   client: store.StoreClient,
-  options: { readonly parts: readonly core.Part[]; readonly author: string },
+  options: {
+    readonly parts: readonly core.ConfigPart[];
+    readonly author: string;
+  },
 ): Promise<utils.Result<PublishOutcome, utils.StepError>> {
   const read = await store.readConfiguration(client, core.EMPTY_CONFIGURATION);
   if (read.err) return read;
--- a/packages/operator/service_file.ts
+++ b/packages/operator/service_file.ts
@@ -93,7 +93,7 @@
  */
 export function collectParts(
   folder: string,
-): utils.Result<core.Part[], readonly utils.FileProblem[]> {
+): utils.Result<core.ConfigPart[], readonly utils.FileProblem[]> {
   const files = listServiceFiles(folder);
   if (files.length === 0) {
     return utils.Err([buildProblem(folder, {
@@ -127,7 +127,7 @@
     .map((name) => path.join(folder, name));
 }
 
-function toParts(file: ServiceFile): core.Part[] {
+function toParts(file: ServiceFile): core.ConfigPart[] {
   return [
     ...file.class.map((one): core.ClassPart => ({
       kind: "class",
@@ -164,7 +164,7 @@
 
 interface FoundPart {
   readonly file: string;
-  readonly part: core.Part;
+  readonly part: core.ConfigPart;
 }
 
 /** Checks what one file alone cannot show: doubles and references. */
@@ -189,7 +189,7 @@
   found: readonly FoundPart[],
 ): utils.FileProblem[] {
   if (part.kind !== "customer") return checkShares({ file, part }, found);
-  const names = (kind: core.Part["kind"]) =>
+  const names = (kind: core.ConfigPart["kind"]) =>
     found.filter((one) => one.part.kind === kind).map((one) => one.part.name);
   const targets = found.flatMap((one) =>
     one.part.kind === "pool" ? [...one.part.targets] : []
--- a/packages/peer/overlay.ts
+++ b/packages/peer/overlay.ts
@@ -203,7 +203,7 @@
   async #sendBeats(): Promise<void> {
     this.members.tick(this.#options.clock.now());
     this.#options.clients.closeIdle();
-    const cleared = this.#marks.removeLapsed(this.#options.clock.wall());
+    const cleared = this.#marks.removeExpired(this.#options.clock.wall());
     if (cleared.length > 0) this.#options.onCleared(cleared);
     await this.#sendBeatsTo(this.#listRegular());
   }
--- a/packages/store/config_store_fuzz_test.ts
+++ b/packages/store/config_store_fuzz_test.ts
@@ -94,7 +94,7 @@
     const client = this.world.store.createClient(this.world.getName(actor));
     this.count += 1;
     const name = `p${this.count}`;
-    const part: core.Part = { kind: "service", name, repeatable: [] };
+    const part: core.ConfigPart = { kind: "service", name, repeatable: [] };
     const read = await store.readConfiguration(
       client,
       core.EMPTY_CONFIGURATION,
--- a/scripts/mutations.ts
+++ b/scripts/mutations.ts
@@ -105,8 +105,8 @@
   {
     name: "routing: long prompts go beside any stream",
     file: "packages/core/constants.ts",
-    find: "DISTURBANCE = 0.3",
-    replace: "DISTURBANCE = 0",
+    find: "DELAYED_STREAM_WEIGHT = 0.3",
+    replace: "DELAYED_STREAM_WEIGHT = 0",
     test: ROUTING,
   },
   {
