--- a/packages/banyangrade/commands/explain.ts
+++ b/packages/banyangrade/commands/explain.ts
@@ -2,7 +2,7 @@
 import * as fs from "node:fs";
 import type * as core from "@banyangrade/core";
 import * as commandLine from "../command_line.ts";
-import * as logStory from "../log_story.ts";
+import * as requestTrace from "../request_trace.ts";
 import * as reachModule from "../reach.ts";
 import type * as statusModule from "../status.ts";
 import * as publish from "./publish.ts";
@@ -40,7 +40,10 @@
 
 /** Tells the story from log lines; needs no host. */
 function explainFromLog(file: string, requestId: string): number {
-  const lines = logStory.tellRequest(fs.readFileSync(file, "utf8"), requestId);
+  const lines = requestTrace.formatRequestTrace(
+    fs.readFileSync(file, "utf8"),
+    requestId,
+  );
   if (lines.length === 0) {
     process.stderr.write(`No line in ${file} names ${requestId}.\n`);
     return commandLine.EXIT.failed;
--- a/packages/banyangrade/routed/attempt_message.ts
+++ b/packages/banyangrade/gateway/attempt_request.ts
@@ -2,13 +2,13 @@
 import type * as core from "@banyangrade/core";
 import type * as service from "@banyangrade/service";
 import * as utils from "@banyangrade/utils";
-import type * as routedExchange from "./routed_exchange.ts";
-import type * as ports from "./ports.ts";
+import type * as requestExchange from "./request_exchange.ts";
+import type * as platformInterface from "./platform_interface.ts";
 
 /** Options of {@link buildAttemptRequest}. */
 export interface AttemptOptions {
-  readonly exchange: routedExchange.ExchangeOptions;
-  readonly wire: ports.WireFormat;
+  readonly exchange: requestExchange.ExchangeOptions;
+  readonly wire: platformInterface.WireFormat;
   readonly server: core.ServerInfo;
   /** An engine that may have the beginning of the prompt in its cache. */
   readonly source?: core.ServerInfo;
@@ -41,7 +41,7 @@
     path: incoming.path,
     headers: {
       ...utils.dropHopHeaders(incoming.headers, wire.reserved),
-      ...wire.buildAttempt({
+      ...wire.buildAttemptHeaders({
         deadlineMs: Math.max(1, Math.floor(deadlineAt - now)),
         customer: request.customer === "" ? undefined : request.customer,
         instance: server.instance ?? server.name,
--- a/packages/banyangrade/routed/belief_task.ts
+++ b/packages/banyangrade/gateway/cluster_state_task.ts
@@ -7,7 +7,7 @@
 import * as core from "@banyangrade/core";
 import * as store from "@banyangrade/store";
 import type * as utils from "@banyangrade/utils";
-import type * as ports from "./ports.ts";
+import type * as platformInterface from "./platform_interface.ts";
 
 /**
  * Longest wait of one long poll for the configuration, in ms. It bounds the age
@@ -37,7 +37,7 @@
 
 /** Options of {@link ClusterStateTask}. */
 export interface ClusterStateOptions {
-  readonly platform: ports.Platform;
+  readonly platform: platformInterface.Platform;
   readonly feed: store.FeedClient;
   /** Includes the time for which the process was suspended, so that a confirmation ages meanwhile. */
   readonly clock: utils.Clock;
--- a/packages/banyangrade/routed/roles_task.ts
+++ b/packages/banyangrade/gateway/control_roles_task.ts
@@ -6,8 +6,8 @@
 import * as store from "@banyangrade/store";
 import * as usage from "@banyangrade/usage";
 import * as utils from "@banyangrade/utils";
-import * as ordersRound from "./orders_round.ts";
-import type * as ports from "./ports.ts";
+import * as scalingOrders from "./scaling_orders.ts";
+import type * as platformInterface from "./platform_interface.ts";
 
 /** Safety margin of the lease for clock drift and scheduling delays, in ms. */
 const LEASE_MARGIN_MS = 400;
@@ -34,8 +34,8 @@
 
 /** Options of {@link RolesTask}. */
 export interface RolesOptions {
-  readonly settings: ports.RoutedSettings;
-  readonly platform: ports.Platform;
+  readonly settings: platformInterface.GatewaySettings;
+  readonly platform: platformInterface.Platform;
   /** Includes the time for which the process was suspended, so that a lease expires meanwhile. */
   readonly clock: utils.Clock;
   readonly log: utils.Logger;
@@ -59,14 +59,14 @@
 export class RolesTask {
   readonly #options: RolesOptions;
   readonly #collector = new core.WindowCollector();
-  readonly #orders: ordersRound.ScalingOrders;
+  readonly #orders: scalingOrders.ScalingOrders;
   #holder: store.LeaseHolder | undefined;
   #round = 0;
   #stops: (() => void)[] = [];
 
   constructor(options: RolesOptions) {
     this.#options = options;
-    this.#orders = new ordersRound.ScalingOrders({
+    this.#orders = new scalingOrders.ScalingOrders({
       ...options,
       getLease: () => this.#getLease(),
     });
@@ -130,7 +130,7 @@
   }
 
   /** Whether this host holds the roles and the deployment has the given one. */
-  #hasControlRole(role: ports.ControlRole): boolean {
+  #hasControlRole(role: platformInterface.ControlRole): boolean {
     return this.hasRole() && this.#options.settings.roles.includes(role);
   }
 
--- a/packages/banyangrade/routed/exchange_record.ts
+++ b/packages/banyangrade/gateway/exchange_telemetry.ts
@@ -2,7 +2,7 @@
 import type * as core from "@banyangrade/core";
 import type * as utils from "@banyangrade/utils";
 import type * as metrics from "../metrics.ts";
-import type * as routedExchange from "./routed_exchange.ts";
+import type * as requestExchange from "./request_exchange.ts";
 
 /** Options of {@link ExchangeTelemetry}. */
 export interface ExchangeTelemetryOptions {
@@ -17,7 +17,7 @@
 /** Writes the logs and metrics of one request. */
 export class ExchangeTelemetry {
   readonly #options: ExchangeTelemetryOptions;
-  readonly #exchange: routedExchange.ExchangeOptions;
+  readonly #exchange: requestExchange.ExchangeOptions;
   #attempts = 0;
   /** When the first attempt was sent; 0 before. */
   #firstAttemptAt = 0;
@@ -32,7 +32,7 @@
 
   constructor(
     options: ExchangeTelemetryOptions,
-    exchange: routedExchange.ExchangeOptions,
+    exchange: requestExchange.ExchangeOptions,
   ) {
     this.#options = options;
     this.#exchange = exchange;
--- a/packages/banyangrade/routed/routed_host.ts
+++ b/packages/banyangrade/gateway/gateway_host.ts
@@ -3,10 +3,10 @@
 import * as operationsServer from "../operations_server.ts";
 import * as ingressModule from "./ingress.ts";
 import * as readinessModule from "./readiness.ts";
-import * as routedParts from "./routed_parts.ts";
+import * as gatewayParts from "./gateway_parts.ts";
 
 /** A running host. */
-export interface RoutedHost {
+export interface GatewayHost {
   /** Stops gracefully: reports itself not ready, then finishes open requests. */
   readonly drain: () => Promise<void>;
   /** Stops immediately. */
@@ -28,10 +28,10 @@
  * @example
  * const host = await startRoutedHost({ settings, platform, log, clock });
  */
-export async function startRoutedHost(
-  options: routedParts.RoutedHostOptions,
-): Promise<RoutedHost> {
-  const parts = routedParts.buildRoutedParts(options);
+export async function startGatewayHost(
+  options: gatewayParts.GatewayHostOptions,
+): Promise<GatewayHost> {
+  const parts = gatewayParts.buildGatewayParts(options);
   const servers = await startServers(parts);
   addGauges(parts);
   await parts.relay.start();
@@ -60,10 +60,10 @@
 }
 
 async function startServers(
-  parts: routedParts.RoutedParts,
+  parts: gatewayParts.GatewayParts,
 ): Promise<HostServers> {
   const { settings, platform, state, belief, dispatch, metrics } = parts;
-  const isReady = () => routedParts.isReady(parts);
+  const isReady = () => gatewayParts.isReady(parts);
   const ingress = await ingressModule.startIngress({
     ...utils.splitAddress(settings.callerAddress),
     onRequest: (request) => parts.requestHandler.handle(request),
@@ -89,7 +89,7 @@
 
 /** Adds gauges for the age of the store's data, open requests and roles; they are read on each scrape. */
 function addGauges(
-  { metrics, belief, dispatch, roles, relay }: routedParts.RoutedParts,
+  { metrics, belief, dispatch, roles, relay }: gatewayParts.GatewayParts,
 ): void {
   metrics.addGauge("banyangrade_is_relay", {
     help: "1 while this host follows the store for its failure domain.",
@@ -119,7 +119,7 @@
 
 async function drainHost(
   { settings, state, clock, log, dispatch, roles, relay }:
-    routedParts.RoutedParts,
+    gatewayParts.GatewayParts,
   { ingress }: HostServers,
 ): Promise<void> {
   const until = clock.now() + DRAIN_SHARE * settings.graceMs;
@@ -142,7 +142,7 @@
 }
 
 async function closeHost(
-  parts: routedParts.RoutedParts,
+  parts: gatewayParts.GatewayParts,
   { ingress, readiness, operations }: HostServers,
 ): Promise<void> {
   parts.belief.stop();
--- a/packages/banyangrade/routed/routed_parts.ts
+++ b/packages/banyangrade/gateway/gateway_parts.ts
@@ -7,35 +7,35 @@
 import * as utils from "@banyangrade/utils";
 import * as dispatchTask from "../dispatch_task.ts";
 import * as metricsModule from "../metrics.ts";
-import * as beliefTask from "./belief_task.ts";
+import * as clusterStateTask from "./cluster_state_task.ts";
 import * as hostUpdates from "./host_updates.ts";
 import * as hostClocks from "./host_clocks.ts";
 import type * as ingressModule from "./ingress.ts";
-import type * as ports from "./ports.ts";
-import * as presenceTask from "./presence_task.ts";
+import type * as platformInterface from "./platform_interface.ts";
+import * as hostStatusTask from "./host_status_task.ts";
 import * as relayTask from "./relay_task.ts";
 import * as relayedFeed from "./relayed_feed.ts";
-import * as rolesTask from "./roles_task.ts";
-import * as routedExchange from "./routed_exchange.ts";
-import * as routedFront from "./routed_front.ts";
-import * as serverPools from "./server_pools.ts";
+import * as controlRolesTask from "./control_roles_task.ts";
+import * as requestExchange from "./request_exchange.ts";
+import * as requestHandler from "./request_handler.ts";
+import * as connectionPools from "./connection_pools.ts";
 
-/** Options of {@link buildRoutedParts}. */
-export interface RoutedHostOptions {
-  readonly settings: ports.RoutedSettings;
-  readonly platform: ports.Platform;
+/** Options of {@link buildGatewayParts}. */
+export interface GatewayHostOptions {
+  readonly settings: platformInterface.GatewaySettings;
+  readonly platform: platformInterface.Platform;
   readonly log: utils.Logger;
   readonly clock: utils.Clock;
 }
 
 /** The components of a host, except its network servers. */
-export interface RoutedParts extends RoutedHostOptions {
+export interface GatewayParts extends GatewayHostOptions {
   readonly clocks: hostClocks.HostClocks;
   readonly incarnation: string;
   readonly random: utils.Random;
   /** While draining, the host reports itself not ready; once closed, it refuses new requests. */
   readonly state: { draining: boolean; closed: boolean };
-  readonly pools: serverPools.ConnectionPools;
+  readonly pools: connectionPools.ConnectionPools;
   readonly metrics: metricsModule.Metrics;
   readonly budget: core.WindowRetryBudget;
   readonly counter: core.WindowCounter;
@@ -45,16 +45,16 @@
   readonly coldStarts: core.ColdStartTracker;
   readonly relay: relayTask.RelayTask;
   readonly feed: relayedFeed.RelayedFeed;
-  readonly belief: beliefTask.ClusterStateTask;
-  readonly presence: presenceTask.HostStatusTask;
-  readonly roles: rolesTask.RolesTask;
-  readonly requestHandler: routedFront.RequestHandler;
+  readonly belief: clusterStateTask.ClusterStateTask;
+  readonly presence: hostStatusTask.HostStatusTask;
+  readonly roles: controlRolesTask.RolesTask;
+  readonly requestHandler: requestHandler.RequestHandler;
   /** Set when the server for callers has started. */
   ingress?: ingressModule.Ingress;
 }
 
 /** The components while they are being added. */
-type Draft = { -readonly [Name in keyof RoutedParts]: RoutedParts[Name] };
+type Draft = { -readonly [Name in keyof GatewayParts]: GatewayParts[Name] };
 
 /**
  * A request during which two servers were lost is isolated, and refused after
@@ -79,7 +79,7 @@
  * @example
  * const parts = buildRoutedParts({ settings, platform, log, clock });
  */
-export function buildRoutedParts(options: RoutedHostOptions): RoutedParts {
+export function buildGatewayParts(options: GatewayHostOptions): GatewayParts {
   const draft = buildBase(options) as Draft;
   addDispatch(draft);
   addRelay(draft);
@@ -97,15 +97,15 @@
  * const status = isReady(parts) ? 200 : 503;
  */
 export function isReady(
-  { state, belief }: Pick<RoutedParts, "state" | "belief">,
+  { state, belief }: Pick<GatewayParts, "state" | "belief">,
 ): boolean {
   return !state.draining && belief.isReady();
 }
 
 /** Builds the components that refer to no other one. */
-function buildBase(options: RoutedHostOptions): Partial<Draft> {
+function buildBase(options: GatewayHostOptions): Partial<Draft> {
   const { settings, clock } = options;
-  const pools = new serverPools.ConnectionPools({ clock });
+  const pools = new connectionPools.ConnectionPools({ clock });
   pools.setHosts(ASSUMED_HOSTS);
   const incarnation = utils.createId();
   return {
@@ -135,7 +135,7 @@
       random,
       budget,
       preempts: false,
-      minRetryAfterMs: routedExchange.MIN_RETRY_MS,
+      minRetryAfterMs: requestExchange.MIN_RETRY_MS,
       suspects: SUSPECT_OPTIONS,
       comparesPrompts: true,
       isConnected: (server) => draft.pools.hasIdleConnection(server),
@@ -177,7 +177,7 @@
 
 function addClusterState(draft: Draft): void {
   const { settings, platform, clocks, log } = draft;
-  draft.belief = new beliefTask.ClusterStateTask({
+  draft.belief = new clusterStateTask.ClusterStateTask({
     platform,
     clock: clocks.lease,
     log: utils.createPartLogger(log, "belief"),
@@ -203,7 +203,7 @@
 
 function addHostStatus(draft: Draft): void {
   const { settings, platform, clocks, log, incarnation } = draft;
-  draft.presence = new presenceTask.HostStatusTask({
+  draft.presence = new hostStatusTask.HostStatusTask({
     store: platform.store,
     clock: clocks.lease,
     log: utils.createPartLogger(log, "presence"),
@@ -219,7 +219,7 @@
 
 function addRoles(draft: Draft): void {
   const { settings, platform, clocks, log, incarnation } = draft;
-  draft.roles = new rolesTask.RolesTask({
+  draft.roles = new controlRolesTask.RolesTask({
     settings,
     platform,
     clock: clocks.lease,
@@ -239,7 +239,7 @@
 }
 
 function addRequestHandler(draft: Draft): void {
-  draft.requestHandler = new routedFront.RequestHandler({
+  draft.requestHandler = new requestHandler.RequestHandler({
     ...draft,
     log: utils.createPartLogger(draft.log, "request"),
     wire: draft.platform.wire,
@@ -253,7 +253,7 @@
 function checkKey(
   { belief }: Draft,
   { key, customer }: { readonly key: string; readonly customer: string },
-): routedExchange.KeyCheck {
+): requestExchange.KeyCheck {
   if (!belief.isFresh()) return "unverified";
   const grant = belief.getTable()?.byKey.get(key);
   return grant?.customer === customer ? "valid" : "withdrawn";
--- a/packages/banyangrade/routed/host_updates.ts
+++ b/packages/banyangrade/gateway/host_updates.ts
@@ -1,8 +1,8 @@
 /** Applies updates from the store and the other hosts, and describes this host to them. */
 import * as core from "@banyangrade/core";
-import type * as routedParts from "./routed_parts.ts";
+import type * as gatewayParts from "./gateway_parts.ts";
 
-type Parts = routedParts.RoutedParts;
+type Parts = gatewayParts.GatewayParts;
 
 /**
  * Describes the status of this host for the other hosts.
--- a/packages/banyangrade/routed/ingress.ts
+++ b/packages/banyangrade/gateway/ingress.ts
@@ -5,7 +5,7 @@
 import * as http from "node:http";
 import type * as net from "node:net";
 import type * as core from "@banyangrade/core";
-import type * as ports from "./ports.ts";
+import type * as platformInterface from "./platform_interface.ts";
 
 /** Hard limit on the request line and headers, in bytes; the operators' limit is lower. */
 const MAX_HEADER_BYTES = 64 * 1024;
@@ -18,7 +18,7 @@
   /** Path and query. */
   readonly path: string;
   readonly host: string;
-  readonly headers: ports.Headers;
+  readonly headers: platformInterface.Headers;
   readonly answer: CallerResponse;
   readonly readBody: (maxBytes: number) => Promise<BodyResult>;
   /** Whether the caller is known to have closed its connection. */
--- a/packages/banyangrade/routed/ports.ts
+++ b/packages/banyangrade/gateway/platform_interface.ts
@@ -51,8 +51,8 @@
 
 /** Header names and formats of the messages of callers and backend servers. */
 export interface WireFormat {
-  readonly readRequest: (headers: Headers) => RequestHead;
-  readonly buildAttempt: (head: AttemptHead) => Record<string, string>;
+  readonly readRequestHead: (headers: Headers) => RequestHead;
+  readonly buildAttemptHeaders: (head: AttemptHead) => Record<string, string>;
   readonly readMarks: service.ForwardCall["readMarks"];
   /** Headers that only the host may set; they are dropped from callers' requests. */
   readonly reserved: ReadonlySet<string>;
@@ -61,7 +61,7 @@
 }
 
 /** An order for the size of a service in one failure domain. */
-export interface DomainOrder {
+export interface ScalingOrder {
   readonly service: string;
   readonly failureDomain: string;
   /** Whether the order is for reclaimable (spot) servers. */
@@ -91,13 +91,13 @@
   ) => utils.Result<core.ListedServer, string>;
   readonly usage: usage.UsageClient;
   readonly sendOrder: (
-    order: DomainOrder,
+    order: ScalingOrder,
   ) => Promise<utils.Result<unknown, utils.StepError>>;
   readonly wire: WireFormat;
 }
 
 /** Settings of a host that serves requests by the operators' routes. Times in ms. */
-export interface RoutedSettings {
+export interface GatewaySettings {
   readonly host: string;
   readonly failureDomain: string;
   /** All failure domains of the deployment. */
--- a/packages/banyangrade/routed/routed_exchange.ts
+++ b/packages/banyangrade/gateway/request_exchange.ts
@@ -4,12 +4,12 @@
 import type * as utils from "@banyangrade/utils";
 import type * as dispatchTask from "../dispatch_task.ts";
 import type * as metrics from "../metrics.ts";
-import * as attemptMessage from "./attempt_message.ts";
-import * as exchangeRecord from "./exchange_record.ts";
+import * as attemptRequest from "./attempt_request.ts";
+import * as exchangeTelemetry from "./exchange_telemetry.ts";
 import type * as ingress from "./ingress.ts";
-import type * as ports from "./ports.ts";
-import * as refusalAnswer from "./refusal_answer.ts";
-import type * as serverPools from "./server_pools.ts";
+import type * as platformInterface from "./platform_interface.ts";
+import * as refusalResponse from "./refusal_response.ts";
+import type * as connectionPools from "./connection_pools.ts";
 
 /** Services of the host that an exchange uses. */
 export interface ExchangeContext {
@@ -17,8 +17,8 @@
   readonly log: utils.Logger;
   readonly dispatch: dispatchTask.DispatchTask;
   readonly metrics: metrics.Metrics;
-  readonly pools: serverPools.ConnectionPools;
-  readonly wire: ports.WireFormat;
+  readonly pools: connectionPools.ConnectionPools;
+  readonly wire: platformInterface.WireFormat;
   /** Checks whether an API key that was valid on arrival may still start an attempt. */
   readonly checkKey: (key: string, customer: string) => KeyCheck;
   /** Counts a request that a server began to run in the usage window of that time. */
@@ -31,7 +31,7 @@
 /** Options of {@link openExchange}. */
 export interface ExchangeOptions {
   readonly incoming: ingress.IncomingRequest;
-  readonly head: ports.RequestHead & { readonly requestId: string };
+  readonly head: platformInterface.RequestHead & { readonly requestId: string };
   readonly body: Buffer;
   readonly request: core.Request;
   readonly table: core.RouteTable;
@@ -65,7 +65,7 @@
 class Exchange {
   readonly #context: ExchangeContext;
   readonly #options: ExchangeOptions;
-  readonly #telemetry: exchangeRecord.ExchangeTelemetry;
+  readonly #telemetry: exchangeTelemetry.ExchangeTelemetry;
   #attemptAbort = new AbortController();
   #timer: NodeJS.Timeout | undefined;
   #ended = false;
@@ -78,7 +78,7 @@
   constructor(context: ExchangeContext, options: ExchangeOptions) {
     this.#context = context;
     this.#options = options;
-    this.#telemetry = new exchangeRecord.ExchangeTelemetry(context, options);
+    this.#telemetry = new exchangeTelemetry.ExchangeTelemetry(context, options);
     this.#lastEventId = options.head.lastEventId;
   }
 
@@ -131,7 +131,7 @@
         ?.connectionLimit ?? 1;
     let started = false;
     return service.forwardRequest({
-      ...attemptMessage.buildAttemptRequest({
+      ...attemptRequest.buildAttemptRequest({
         ...effect,
         exchange: this.#options,
         wire,
@@ -278,7 +278,7 @@
       forwardedStatus: errorResponse?.status,
     });
     if (errorResponse !== undefined) return answer.send(errorResponse);
-    refusalAnswer.sendRefusal(answer, { refusal, requestId });
+    refusalResponse.sendRefusal(answer, { refusal, requestId });
   }
 
   /** Ends the exchange; returns false if it had already ended. */
--- a/packages/banyangrade/routed/routed_front.ts
+++ b/packages/banyangrade/gateway/request_handler.ts
@@ -4,11 +4,11 @@
  */
 import * as core from "@banyangrade/core";
 import * as utils from "@banyangrade/utils";
-import type * as beliefTask from "./belief_task.ts";
+import type * as clusterStateTask from "./cluster_state_task.ts";
 import type * as ingress from "./ingress.ts";
-import type * as ports from "./ports.ts";
-import * as refusalAnswer from "./refusal_answer.ts";
-import * as routedExchange from "./routed_exchange.ts";
+import type * as platformInterface from "./platform_interface.ts";
+import * as refusalResponse from "./refusal_response.ts";
+import * as requestExchange from "./request_exchange.ts";
 
 /** Retry delay given by a host whose data from the store is stale, in ms; short, as another host is likely to be up to date. */
 const STALE_STORE_RETRY_MS = 100;
@@ -18,8 +18,8 @@
 const QUEUE_SHARE = 0.4;
 
 /** Options of {@link RequestHandler}. */
-export interface RequestHandlerOptions extends routedExchange.ExchangeContext {
-  readonly belief: beliefTask.ClusterStateTask;
+export interface RequestHandlerOptions extends requestExchange.ExchangeContext {
+  readonly belief: clusterStateTask.ClusterStateTask;
   /** Whether the host is draining and no longer accepts requests. */
   readonly isClosed: () => boolean;
   readonly random: utils.Random;
@@ -34,7 +34,7 @@
 interface AdmittedRequest {
   readonly incoming: ingress.IncomingRequest;
   readonly arrivedAt: number;
-  readonly head: ports.RequestHead & { readonly requestId: string };
+  readonly head: platformInterface.RequestHead & { readonly requestId: string };
   readonly table: core.RouteTable;
   readonly route: core.Route;
   readonly grant: core.CustomerIdentity | undefined;
@@ -50,7 +50,7 @@
 
   /** Admits a request and opens an exchange for it, or refuses it. */
   handle(incoming: ingress.IncomingRequest): void {
-    const head = this.#options.wire.readRequest(incoming.headers);
+    const head = this.#options.wire.readRequestHead(incoming.headers);
     const admitted = this.#admit(incoming, head);
     if (admitted.err) {
       return this.#refuse(incoming, { head, refusal: admitted.val });
@@ -60,7 +60,7 @@
 
   #admit(
     incoming: ingress.IncomingRequest,
-    head: ports.RequestHead,
+    head: platformInterface.RequestHead,
   ): utils.Result<AdmittedRequest, core.Refusal> {
     const { belief, clock } = this.#options;
     const { requestId } = head;
@@ -147,7 +147,7 @@
       return this.#refuse(incoming, { head, refusal });
     }
     const request = this.#buildRequest(admitted, { service, body });
-    routedExchange.openExchange(this.#options, {
+    requestExchange.openExchange(this.#options, {
       incoming,
       head,
       body,
@@ -222,7 +222,7 @@
   #refuse(
     incoming: ingress.IncomingRequest,
     { head, refusal }: {
-      readonly head: ports.RequestHead;
+      readonly head: platformInterface.RequestHead;
       readonly refusal: core.Refusal;
     },
   ): void {
@@ -236,7 +236,7 @@
       version: belief.getTable()?.configuration.version,
       proofAgeMs: belief.getProofAge(),
     }, "Request refused.");
-    refusalAnswer.sendRefusal(incoming.answer, { refusal, requestId });
+    refusalResponse.sendRefusal(incoming.answer, { refusal, requestId });
   }
 }
 
@@ -250,7 +250,9 @@
  * or session. The router uses it to send these requests to the same server,
  * which has the part in its cache.
  */
-function findSharedPart(parts: readonly ports.PromptPart[]): string {
+function findSharedPart(
+  parts: readonly platformInterface.PromptPart[],
+): string {
   return (parts.length > 1 ? parts[parts.length - 2] : parts[0])?.id ?? "";
 }
 
--- a/packages/banyangrade/routed/orders_round.ts
+++ b/packages/banyangrade/gateway/scaling_orders.ts
@@ -4,15 +4,15 @@
  */
 import * as core from "@banyangrade/core";
 import type * as utils from "@banyangrade/utils";
-import type * as ports from "./ports.ts";
+import type * as platformInterface from "./platform_interface.ts";
 
 /** Time after which an order without effect is sent again, in ms, in addition to the boot time of a server. */
 const RESEND_MS = 3_000;
 
 /** Options of {@link ScalingOrders}. */
 export interface ScalingOrdersOptions {
-  readonly settings: Pick<ports.RoutedSettings, "failureDomains">;
-  readonly platform: Pick<ports.Platform, "sendOrder">;
+  readonly settings: Pick<platformInterface.GatewaySettings, "failureDomains">;
+  readonly platform: Pick<platformInterface.Platform, "sendOrder">;
   /** Includes the time for which the process was suspended, so that a lease expires meanwhile. */
   readonly clock: utils.Clock;
   readonly log: utils.Logger;
@@ -27,7 +27,7 @@
 }
 
 interface SentOrder {
-  readonly order: ports.DomainOrder;
+  readonly order: platformInterface.ScalingOrder;
   readonly at: number;
   /** Highest number of servers of this kind that were ready since the order was sent. */
   mostReady: number;
@@ -37,7 +37,7 @@
 
 /** An order without its fencing token. */
 interface PlannedOrder {
-  readonly order: Omit<ports.DomainOrder, "fencingToken">;
+  readonly order: Omit<platformInterface.ScalingOrder, "fencingToken">;
   /** Boot time of a server, in ms. */
   readonly bootMs: number;
   /** Demand for which the order was planned; logged with it. */
--- a/packages/banyangrade/presence_test.ts
+++ b/packages/banyangrade/host_status_test.ts
@@ -3,7 +3,7 @@
 import * as core from "@banyangrade/core";
 import type * as store from "@banyangrade/store";
 import * as utils from "@banyangrade/utils";
-import * as presenceTask from "./routed/presence_task.ts";
+import * as hostStatusTask from "./gateway/host_status_task.ts";
 
 const tap = tapModule.default;
 
@@ -28,7 +28,7 @@
   });
   const received: core.HostsSummary[] = [];
   const others = { ...core.EMPTY_SUMMARY, hosts: 3, times: [1_000] };
-  const presence = new presenceTask.HostStatusTask({
+  const presence = new hostStatusTask.HostStatusTask({
     store: client,
     clock: utils.SYSTEM_CLOCK,
     log: utils.createLogger({ level: "silent" }),
--- a/packages/banyangrade/relayed_feed_test.ts
+++ b/packages/banyangrade/relayed_feed_test.ts
@@ -3,7 +3,7 @@
 import type * as peer from "@banyangrade/peer";
 import * as store from "@banyangrade/store";
 import * as utils from "@banyangrade/utils";
-import * as relayedFeed from "./routed/relayed_feed.ts";
+import * as relayedFeed from "./gateway/relayed_feed.ts";
 
 const tap = tapModule.default;
 const PREFIX = "servers/";
--- a/packages/banyangrade/log_story.ts
+++ b/packages/banyangrade/request_trace.ts
@@ -44,9 +44,9 @@
  * names the request.
  *
  * @example
- * tellRequest(fs.readFileSync("hosts.log", "utf8"), "attempt-7");
+ * formatRequestTrace(fs.readFileSync("hosts.log", "utf8"), "attempt-7");
  */
-export function tellRequest(text: string, requestId: string): string[] {
+export function formatRequestTrace(text: string, requestId: string): string[] {
   const lines = text.split("\n").flatMap(parseLine);
   const own = lines.filter((line) => line.requestId === requestId)
     .toSorted((a, b) => a.time - b.time);
--- a/packages/banyangrade/log_story_test.ts
+++ b/packages/banyangrade/request_trace_test.ts
@@ -1,6 +1,6 @@
 /** Tracing one request through log lines as hosts write them. */
 import * as tapModule from "tap";
-import * as logStory from "./log_story.ts";
+import * as requestTrace from "./request_trace.ts";
 
 const tap = tapModule.default;
 
@@ -16,7 +16,7 @@
 ];
 
 tap.test("only the request's lines and its host's state changes are shown", (t) => {
-  const story = logStory.tellRequest(LINES.join("\n"), "r1");
+  const story = requestTrace.formatRequestTrace(LINES.join("\n"), "r1");
   t.match(story, [
     /^\+0 ms h1 sent it to s1@7 \(attempt 1/,
     /^\+200 ms s1@7 failed it \(connection_lost\): read ECONNRESET/,
@@ -30,7 +30,7 @@
 });
 
 tap.test("the trace of an unknown request is empty", (t) => {
-  t.same(logStory.tellRequest(LINES.join("\n"), "r9"), []);
+  t.same(requestTrace.formatRequestTrace(LINES.join("\n"), "r9"), []);
   t.end();
 });
 
@@ -40,7 +40,7 @@
     `{"time":1400,"host":"h1","requestId":"r1","totalMs":402,"stage":"answering","runningMs":400,"loopDelayMs":12,"msg":"request: Caller left."}`,
     `{"time":1401,"host":"h1","requestId":"r1","attempt":1,"server":"s1@7","afterMs":1,"msg":"request: Attempt stopped."}`,
   ];
-  t.same(logStory.tellRequest(lines.join("\n"), "r1").slice(1), [
+  t.same(requestTrace.formatRequestTrace(lines.join("\n"), "r1").slice(1), [
     "+400 ms The caller disconnected after 402 ms (answering, 400 ms after it was " +
     "sent; detected up to 12 ms late).",
     "+401 ms h1 stopped the attempt at s1@7 1 ms after that.",
--- a/packages/banyangrade/orders_round_test.ts
+++ b/packages/banyangrade/scaling_orders_test.ts
@@ -2,8 +2,8 @@
 import * as tapModule from "tap";
 import * as core from "@banyangrade/core";
 import * as utils from "@banyangrade/utils";
-import * as ordersRound from "./routed/orders_round.ts";
-import type * as ports from "./routed/ports.ts";
+import * as scalingOrders from "./gateway/scaling_orders.ts";
+import type * as platformInterface from "./gateway/platform_interface.ts";
 
 const tap = tapModule.default;
 
@@ -21,7 +21,7 @@
   },
 };
 
-type Answer = Awaited<ReturnType<ports.Platform["sendOrder"]>>;
+type Answer = Awaited<ReturnType<platformInterface.Platform["sendOrder"]>>;
 
 function buildServer(failureDomain: string, index: number): core.ListedServer {
   return {
@@ -40,14 +40,14 @@
 
 /** Starts scaling orders for two failure domains that have the same number of reclaimable servers each. */
 function startRound(
-  answer: (order: ports.DomainOrder) => Promise<Answer>,
+  answer: (order: platformInterface.ScalingOrder) => Promise<Answer>,
   { serversEach = 8, asked = 40 }: {
     readonly serversEach?: number;
     /** Number of requests with short and with long prompts each; the prompts of a quarter of all are not prefilled yet. */
     readonly asked?: number;
   } = {},
 ) {
-  const sent: ports.DomainOrder[] = [];
+  const sent: platformInterface.ScalingOrder[] = [];
   let now = 0;
   let emptied: string | undefined;
   let servers = DOMAINS.flatMap((domain) =>
@@ -73,7 +73,7 @@
     usage: {},
     suspects: [],
   };
-  const round = new ordersRound.ScalingOrders({
+  const round = new scalingOrders.ScalingOrders({
     settings: { failureDomains: DOMAINS },
     platform: {
       sendOrder: (order) => {
--- a/scripts/mutations.ts
+++ b/scripts/mutations.ts
@@ -323,7 +323,7 @@
   },
   {
     name: "callers left: a late host does not read once more",
-    file: "packages/banyangrade/routed/routed_front.ts",
+    file: "packages/banyangrade/gateway/request_handler.ts",
     find: "await utils.waitForReads();",
     replace: "",
     test: LEFT,
