--- a/packages/banyangrade/accepted.ts
+++ b/packages/banyangrade/authenticated_request.ts
@@ -1,27 +1,27 @@
-/** A caller's request whose key was accepted, and what follows from it. */
+/** Callers' requests after authentication: their authorization, their refusal and the request that they become. */
 import * as caller from "@banyangrade/caller";
 import * as core from "@banyangrade/core";
 import * as exchange from "./exchange.ts";
 
-/** What a request's headers grant. */
-export interface Checked {
+/** Key of a caller's request, with the customer and the class that it resolves to. */
+export interface AuthenticatedHead {
   readonly secret: string;
   readonly grant: core.KeyGrant;
   readonly part: core.ClassPart;
 }
 
-/** A caller's request whose key was accepted. */
-export interface Accepted extends Checked {
+/** A caller's request with a valid key. */
+export interface AuthenticatedRequest extends AuthenticatedHead {
   readonly incoming: caller.CallerRequest;
 }
 
 /**
- * Refuses a caller's request.
+ * Sends a caller the refusal of its request.
  *
  * @example
- * refuseHead(context, { head, refusal });
+ * refuseRequest(context, { head, refusal });
  */
-export function refuseHead(
+export function refuseRequest(
   context: exchange.ExchangeContext,
   { head, refusal }: {
     readonly head: caller.CallerHead;
@@ -33,25 +33,27 @@
 }
 
 /**
- * Refuses what was not looked up among earlier sendings.
+ * Refuses a request before its idempotency key is claimed. If it carries such a key,
+ * the refusal does not say that the operation did not run: an earlier request with
+ * the key may have run it.
  *
  * @example
- * refuseUnclaimed(context, { head, refusal });
+ * refuseBeforeClaim(context, { head, refusal });
  */
-export function refuseUnclaimed(
+export function refuseBeforeClaim(
   context: exchange.ExchangeContext,
   { head, refusal }: {
     readonly head: caller.CallerHead;
     readonly refusal: core.Refusal;
   },
 ): void {
-  const keyed = caller.isKeyedCall(head);
-  const said = keyed ? core.markRanUnknown(refusal) : refusal;
-  refuseHead(context, { head, refusal: said });
+  const hasIdempotencyKey = caller.isKeyedCall(head);
+  const marked = hasIdempotencyKey ? core.markRanUnknown(refusal) : refusal;
+  refuseRequest(context, { head, refusal: marked });
 }
 
 /**
- * Builds the refusal of a key.
+ * Builds the refusal of a request whose key is invalid or does not allow the class.
  *
  * @example
  * buildKeyRefusal("not_allowed");
@@ -63,13 +65,13 @@
 }
 
 /**
- * Checks that a customer may use a model or service; the refusal if not.
+ * Checks that a customer may use a model or service. Returns the refusal if it may not.
  *
  * @example
  * const denied = checkTarget(accepted, "rooms");
  */
 export function checkTarget(
-  accepted: Accepted,
+  accepted: AuthenticatedRequest,
   target: string,
 ): core.Refusal | undefined {
   if (accepted.grant.customer.targets.includes(target)) return undefined;
@@ -77,7 +79,9 @@
     code: "not_found",
     ran: "no",
     step: "caller.authorize",
-    message: `The key grants nothing named "${target.slice(0, 80)}".`,
+    message: `The API key grants access to nothing named "${
+      target.slice(0, 80)
+    }"; check the model or service name.`,
   });
 }
 
@@ -92,7 +96,7 @@
 }
 
 /**
- * Builds what generated answers and calls have in common.
+ * Builds the part of a request that generations and calls have in common.
  *
  * @example
  * const request = { ...buildRequest(options, clock.now()), kind: "call" };
--- a/packages/banyangrade/orders_task.ts
+++ b/packages/banyangrade/autoscaler_task.ts
@@ -1,4 +1,4 @@
-/** The autoscaler of a failure domain, run by the host that holds its role. */
+/** Runs the autoscaler of a failure domain at the host that holds the role. */
 import * as core from "@banyangrade/core";
 import * as fleet from "@banyangrade/fleet";
 import type * as peer from "@banyangrade/peer";
@@ -7,8 +7,8 @@
 import type * as capacity from "./capacity_task.ts";
 import * as constants from "./constants.ts";
 
-/** Options of {@link OrdersTask}. */
-export interface OrdersTaskOptions {
+/** Options of {@link AutoscalerTask}. */
+export interface AutoscalerTaskOptions {
   readonly clock: utils.Clock;
   readonly log: utils.Logger;
   readonly store: store.StoreClient;
@@ -21,20 +21,20 @@
   readonly failureDomain: string;
 }
 
-/** Computes desired counts and orders them. */
-export class OrdersTask {
-  readonly #options: OrdersTaskOptions;
+/** Computes the desired server counts of the pools and orders them from the fleet. */
+export class AutoscalerTask {
+  readonly #options: AutoscalerTaskOptions;
   #state = core.INITIAL_SCALING;
-  #last: readonly core.DesiredCount[] = [];
+  #desired: readonly core.DesiredCount[] = [];
   #stop: () => void = () => undefined;
 
-  constructor(options: OrdersTaskOptions) {
+  constructor(options: AutoscalerTaskOptions) {
     this.#options = options;
   }
 
   start(): void {
     this.#stop = utils.startInterval(
-      constants.ORDERS_MS,
+      constants.AUTOSCALER_MS,
       () => this.#runRound(),
     );
   }
@@ -43,9 +43,9 @@
     this.#stop();
   }
 
-  /** The counts desired in the last round. */
+  /** Returns the desired counts of the last round. */
   getDesired(): readonly core.DesiredCount[] {
-    return this.#last;
+    return this.#desired;
   }
 
   async #runRound(): Promise<void> {
@@ -54,12 +54,14 @@
     const demand = await this.#fetchDemand(pools.map((pool) => pool.part.name));
     if (demand === undefined || pools.length === 0) return;
     const loads = pools.map((pool) => {
-      const own = demand.find((one) => one.pool === pool.part.name);
+      const poolDemand = demand.find((candidate) =>
+        candidate.pool === pool.part.name
+      );
       return {
         part: pool.part,
         servers: pool.totalSlots / pool.part.slots,
-        demand: own?.demand ?? 0,
-        upperDemand: own?.upperDemand ?? 0,
+        demand: poolDemand?.demand ?? 0,
+        upperDemand: poolDemand?.upperDemand ?? 0,
       };
     });
     const computed = core.computeDesired(loads, {
@@ -67,11 +69,11 @@
       now: this.#options.clock.now(),
     });
     this.#state = computed.state;
-    this.#last = computed.desired;
-    for (const desired of computed.desired) await this.#order(desired);
+    this.#desired = computed.desired;
+    for (const desired of computed.desired) await this.#sendOrder(desired);
   }
 
-  /** The failure domain's pools whose size is not left alone. */
+  /** Lists the failure domain's pools that are scaled. */
   #listPools() {
     return this.#options.dispatcher.inspect().pools.filter((pool) =>
       pool.part.failureDomain === this.#options.failureDomain &&
@@ -95,17 +97,23 @@
     return answer.ok ? answer.val : undefined;
   }
 
-  async #order(desired: core.DesiredCount): Promise<void> {
+  async #sendOrder(desired: core.DesiredCount): Promise<void> {
     const outcome = await fleet.sendDesired(desired, {
       ...this.#options,
       getLease: this.#options.holder.getLease,
     });
     switch (outcome.kind) {
       case "sent":
-        this.#options.log.debug({ ...outcome.intent }, "Order sent.");
+        this.#options.log.debug(
+          { ...outcome.intent },
+          "Desired server count ordered.",
+        );
         return;
       case "failed":
-        this.#options.log.warn({ error: outcome.error }, "Order failed.");
+        this.#options.log.warn(
+          { error: outcome.error },
+          "Ordering a desired server count failed; retrying in the next round.",
+        );
         return;
       case "unchanged":
       case "not_leader":
--- a/packages/banyangrade/call_exchange.ts
+++ b/packages/banyangrade/call_exchange.ts
@@ -1,10 +1,10 @@
-/** One call of a plain service from its arrival to its answer, over all attempts. */
+/** Runs one call of a plain service from its arrival to its response, over all attempts. */
 import * as undici from "undici";
 import type * as core from "@banyangrade/core";
 import * as service from "@banyangrade/service";
 import * as exchange from "./exchange.ts";
 
-/** What is sent to the service. */
+/** Options of {@link runCall}. */
 export interface CallOptions {
   readonly agent: undici.Agent;
   readonly request: core.Request;
@@ -13,11 +13,11 @@
   readonly path: string;
   readonly headers: Readonly<Record<string, string | string[]>>;
   readonly body: Uint8Array;
-  /** Calls back if whoever waits for the answer leaves. */
-  readonly onLeft?: (callback: () => void) => void;
+  /** Registers a callback for when the caller disconnects; undefined for an operation that another host forwarded. */
+  readonly onDisconnect?: (callback: () => void) => void;
 }
 
-/** How the call ended. */
+/** Outcome of a call. */
 export type CallOutcome =
   | { readonly kind: "whole"; readonly answer: service.ServiceAnswer }
   | { readonly kind: "refused"; readonly refusal: core.Refusal }
@@ -26,7 +26,8 @@
 type StartEffect = Extract<core.DispatchEffect, { kind: "start" }>;
 
 /**
- * Runs a call through the dispatcher. Never rejects.
+ * Opens a call at the dispatcher and runs it until it is answered, refused or cancelled.
+ * The promise never rejects.
  *
  * @example
  * const outcome = await runCall(context, options);
@@ -37,12 +38,12 @@
 ): Promise<CallOutcome> {
   const requestId = options.request.id;
   const record = new exchange.ExchangeRecord(context, options);
-  let abort = new AbortController();
+  let currentController = new AbortController();
 
   return new Promise((resolve) => {
     async function runAttempt(effect: StartEffect): Promise<void> {
-      const own = new AbortController();
-      abort = own;
+      const controller = new AbortController();
+      currentController = controller;
       record.recordStart();
       const outcome = await service.runCall(options.agent, {
         requestId,
@@ -52,21 +53,24 @@
         path: options.path,
         headers: options.headers,
         body: options.body,
-        ...exchange.getPatience(options.part, {
+        ...exchange.getResponseTimeouts(options.part, {
           repeatable: options.request.repeatable,
           stream: true,
         }),
-        signal: own.signal,
+        signal: controller.signal,
       });
-      end(effect, outcome);
+      endAttempt(effect, outcome);
     }
 
-    function end(effect: StartEffect, outcome: service.ServiceOutcome): void {
+    function endAttempt(
+      effect: StartEffect,
+      outcome: service.ServiceOutcome,
+    ): void {
       switch (outcome.kind) {
         case "aborted":
           return;
         case "whole":
-          exchange.closeFinished(context, { effect, tokens: 0 });
+          exchange.finishRequest(context, { effect, tokens: 0 });
           record.finish(0);
           return resolve(outcome);
         case "failed":
@@ -79,10 +83,10 @@
       }
     }
 
-    // A call that may not be repeated is not stopped when its caller leaves:
-    // stopping it could not take back what it did.
+    // A call that is not idempotent continues when its caller disconnects: stopping
+    // it would not undo what it did.
     if (options.request.repeatable) {
-      options.onLeft?.(() => {
+      options.onDisconnect?.(() => {
         context.dispatch.send({ kind: "cancelled", requestId });
         context.dispatch.close(requestId);
         resolve({ kind: "left" });
@@ -90,7 +94,7 @@
     }
     context.dispatch.open(options.request, {
       onStart: (effect) => void runAttempt(effect),
-      onStop: () => abort.abort(),
+      onStop: () => currentController.abort(),
       onRefuse: (refusal) => resolve({ kind: "refused", refusal }),
     });
   });
--- a/packages/banyangrade/front.ts
+++ b/packages/banyangrade/caller_request_handler.ts
@@ -1,53 +1,54 @@
-/** From a caller's HTTP request to an open request: key, class, target. */
+/** Authenticates and authorizes callers' HTTP requests and opens them at the dispatcher. */
 import * as caller from "@banyangrade/caller";
 import * as core from "@banyangrade/core";
 import type * as peer from "@banyangrade/peer";
 import * as utils from "@banyangrade/utils";
-import * as acceptedModule from "./accepted.ts";
-import * as callFront from "./call_front.ts";
+import * as authenticatedRequest from "./authenticated_request.ts";
+import * as serviceCallHandler from "./service_call_handler.ts";
 import * as generateExchange from "./generate_exchange.ts";
 
-/** Header by which a caller asks for one of its key's classes. */
+/** Header with which a caller selects one of the classes that its key allows. */
 const CLASS_HEADER = "x-class";
 
-/** Options of {@link Front}. */
-export interface FrontOptions extends callFront.CallFrontOptions {
-  /** Whether word of withdrawn keys is recent enough to trust keys. */
+/** Options of {@link CallerRequestHandler}. */
+export interface CallerRequestHandlerOptions
+  extends serviceCallHandler.ServiceCallHandlerOptions {
+  /** Whether the list of withdrawn keys is recent enough for keys to be accepted. */
   readonly isFresh: () => boolean;
 }
 
-/** Turns callers' requests into work. */
-export class Front {
-  readonly #options: FrontOptions;
-  readonly #calls: callFront.CallFront;
+/** Handles the requests of callers. */
+export class CallerRequestHandler {
+  readonly #options: CallerRequestHandlerOptions;
+  readonly #serviceCalls: serviceCallHandler.ServiceCallHandler;
 
-  constructor(options: FrontOptions) {
+  constructor(options: CallerRequestHandlerOptions) {
     this.#options = options;
-    this.#calls = new callFront.CallFront(options);
+    this.#serviceCalls = new serviceCallHandler.ServiceCallHandler(options);
   }
 
-  /** Runs an operation that another host forwarded with this host's ticket. */
+  /** Runs an operation that another host forwarded because this host issued its ticket. */
   runTicket(message: peer.TicketMessage): Promise<peer.TicketAnswer> {
-    return this.#calls.runTicket(message);
+    return this.#serviceCalls.runTicket(message);
   }
 
-  /** Checks a caller's key before its body is read; answers if it is refused. */
+  /** Checks a request's key before its body is read; sends the refusal and returns false if the key is refused. */
   acceptHead(head: caller.CallerHead): boolean {
-    const accepted = this.#accept(head);
+    const accepted = this.#verifyKey(head);
     if (accepted.ok) return true;
     const refusal = accepted.val;
-    acceptedModule.refuseUnclaimed(this.#options, { head, refusal });
+    authenticatedRequest.refuseBeforeClaim(this.#options, { head, refusal });
     return false;
   }
 
   /**
-   * Handles one request of a caller. The key is checked again: it may have been
-   * withdrawn while a slow caller sent the body.
+   * Handles one request of a caller. The key is checked a second time, because it
+   * may have been withdrawn while the body was received.
    */
   handle(incoming: caller.CallerRequest): void {
-    const checked = this.#accept(incoming);
+    const checked = this.#verifyKey(incoming);
     if (checked.err) {
-      return acceptedModule.refuseUnclaimed(this.#options, {
+      return authenticatedRequest.refuseBeforeClaim(this.#options, {
         head: incoming,
         refusal: checked.val,
       });
@@ -60,20 +61,22 @@
       case "ticket":
         return this.#issueTicket(accepted);
       case "generate":
-        return this.#generate(accepted, route.api);
+        return this.#openGeneration(accepted, route.api);
       case "call":
-        return void this.#calls.call(accepted, route);
+        return void this.#serviceCalls.call(accepted, route);
     }
   }
 
-  #accept(
+  #verifyKey(
     head: caller.CallerHead,
-  ): utils.Result<acceptedModule.Checked, core.Refusal> {
+  ): utils.Result<authenticatedRequest.AuthenticatedHead, core.Refusal> {
     const configuration = this.#options.getConfiguration();
     const secret = caller.getPresentedKey(head.headers) ?? "";
     const grant = core.findGrant(configuration, secret);
     if (grant === undefined || this.#options.isWithdrawn(grant.key.name)) {
-      return utils.Err(acceptedModule.buildKeyRefusal("not_authenticated"));
+      return utils.Err(
+        authenticatedRequest.buildKeyRefusal("not_authenticated"),
+      );
     }
     if (!this.#options.isFresh()) {
       return utils.Err(core.buildRefusal({
@@ -82,7 +85,8 @@
         step: "caller.authenticate",
         peer: "store",
         waitMs: 10_000,
-        message: "This host has had no word of withdrawn keys for too long.",
+        message:
+          "This host's list of withdrawn keys is out of date, so it cannot verify the key; retry later.",
       }));
     }
     const asked = head.headers[CLASS_HEADER];
@@ -91,16 +95,18 @@
       classes: configuration.classes,
     });
     if (part === undefined) {
-      return utils.Err(acceptedModule.buildKeyRefusal("not_allowed"));
+      return utils.Err(authenticatedRequest.buildKeyRefusal("not_allowed"));
     }
     return utils.Ok({ secret, grant, part });
   }
 
   #refuse(head: caller.CallerHead, refusal: core.Refusal): void {
-    acceptedModule.refuseHead(this.#options, { head, refusal });
+    authenticatedRequest.refuseRequest(this.#options, { head, refusal });
   }
 
-  #listModels({ incoming, grant }: acceptedModule.Accepted): void {
+  #listModels(
+    { incoming, grant }: authenticatedRequest.AuthenticatedRequest,
+  ): void {
     const engines = [...this.#options.getConfiguration().pools.values()]
       .filter((pool) => pool.serves === "engine")
       .flatMap((pool) => pool.targets);
@@ -110,13 +116,15 @@
     sendJson(incoming.answer, { object: "list", data });
   }
 
-  #issueTicket({ incoming, grant }: acceptedModule.Accepted): void {
+  #issueTicket(
+    { incoming, grant }: authenticatedRequest.AuthenticatedRequest,
+  ): void {
     const ticket = this.#options.ticketGuard.issue(grant.customer.name);
     sendJson(incoming.answer, { ticket });
   }
 
-  #generate(
-    accepted: acceptedModule.Accepted,
+  #openGeneration(
+    accepted: authenticatedRequest.AuthenticatedRequest,
     api: "chat" | "completion",
   ): void {
     const { incoming, secret, grant, part } = accepted;
@@ -126,9 +134,9 @@
       return this.#refuse(incoming, buildParseRefusal(parsed.val));
     }
     const body = parsed.val;
-    const denied = acceptedModule.checkTarget(accepted, body.model);
-    if (denied !== undefined) return this.#refuse(incoming, denied);
-    const request = acceptedModule.buildRequest({
+    const refusal = authenticatedRequest.checkTarget(accepted, body.model);
+    if (refusal !== undefined) return this.#refuse(incoming, refusal);
+    const request = authenticatedRequest.buildRequest({
       requestId,
       customer: grant.customer,
       keyId: grant.key.name,
@@ -138,7 +146,7 @@
         `${grant.customer.name}\n${incoming.body.toString("utf8")}`,
       ),
     }, this.#options.clock.now());
-    generateExchange.openGenerate(this.#options, {
+    generateExchange.openGeneration(this.#options, {
       agent: this.#options.agent,
       request: {
         ...request,
--- a/packages/banyangrade/capacity_task.ts
+++ b/packages/banyangrade/capacity_task.ts
@@ -1,7 +1,8 @@
 /**
- * Slots between the hosts of a failure domain. Every host sends its demand to
- * the capacity leader, the first live host by hash, and gets its grants back;
- * the leader also pushes grants to hosts that must give slots up.
+ * Allocates the slots of a failure domain's servers to its hosts. Every host sends its
+ * demand to the capacity leader, which is the first active host by rendezvous hash, and
+ * receives its grants in return. The leader also pushes grants to hosts whose slots it
+ * recalls.
  */
 import * as core from "@banyangrade/core";
 import type * as peer from "@banyangrade/peer";
@@ -22,21 +23,21 @@
   readonly host: string;
 }
 
-/** Asks for slots and, at the leader, grants them. */
+/** Requests slots from the capacity leader; at the leader, also grants them. */
 export class CapacityTask {
   readonly #options: CapacityTaskOptions;
   readonly #allocator = new core.CapacityAllocator();
-  /** Peer addresses of hosts of other failure domains that asked. */
-  readonly #visitors = new Map<string, string>();
+  /** Peer addresses of the hosts of other failure domains that sent a demand. */
+  readonly #remoteHosts = new Map<string, string>();
   #grants: ReadonlyMap<string, readonly core.Grant[]> = new Map();
   #leaderSince = Number.POSITIVE_INFINITY;
   #allocatedAt = Number.NEGATIVE_INFINITY;
-  #askedAt = Number.NEGATIVE_INFINITY;
-  #misses = 0;
-  #hosts = "";
-  #saidIdle = false;
+  #demandSentAt = Number.NEGATIVE_INFINITY;
+  #failedDemands = 0;
+  #hostList = "";
+  #idleReported = false;
   #asking = false;
-  #scheduled: NodeJS.Timeout | undefined;
+  #allocateTimer: NodeJS.Timeout | undefined;
   #stop: () => void = () => undefined;
 
   constructor(options: CapacityTaskOptions) {
@@ -52,22 +53,26 @@
 
   stop(): void {
     this.#stop();
-    clearTimeout(this.#scheduled);
+    clearTimeout(this.#allocateTimer);
   }
 
   getLeader(): core.Member {
     return this.#options.overlay.members.listRanked("capacity", 1)[0];
   }
 
-  /** Sends demand now instead of at the next round, at most every 50 ms. */
-  askNow(): void {
-    const since = this.#options.clock.now() - this.#askedAt;
-    if (since >= constants.ALLOCATE_MS * this.#getScale()) void this.#ask();
+  /**
+   * Sends the demand now instead of in the next round, unless the last one was sent less
+   * than {@link constants.ALLOCATE_MS} ago. That time grows with the number of hosts.
+   */
+  askLeaderNow(): void {
+    const age = this.#options.clock.now() - this.#demandSentAt;
+    if (age >= constants.ALLOCATE_MS * this.#getScale()) void this.#askLeader();
   }
 
   /**
-   * Factor on the time between demands. It grows with the failure domain, so
-   * that what its leader takes in does not.
+   * Returns the factor by which the interval between demands is longer than in a
+   * small failure domain. It grows with the number of hosts, so that the leader's
+   * load does not.
    */
   #getScale(): number {
     const hosts = this.#options.overlay.members.listActive().length;
@@ -75,8 +80,9 @@
   }
 
   /**
-   * Takes a host's demand and answers with its grants, at the leader; a host of
-   * another failure domain does not know who that is, so its demand is passed on.
+   * Handles the demand of a host and returns its grants if this host is the leader.
+   * Demand from another failure domain is forwarded to the leader, because hosts there
+   * do not know which host that is.
    */
   async takeDemand(
     message: peer.DemandMessage,
@@ -91,12 +97,13 @@
   #answerDemand(message: peer.DemandMessage): peer.GrantMessage | undefined {
     const now = this.#options.clock.now();
     const { host, demands, visitor } = message;
-    const visiting = visitor !== undefined;
-    if (visiting) this.#visitors.set(host, visitor);
-    this.#allocator.setDemand(host, { demands, now, remote: visiting });
+    const remote = visitor !== undefined;
+    if (remote) this.#remoteHosts.set(host, visitor);
+    this.#allocator.setDemand(host, { demands, now, remote });
     if (!this.#isLeader()) return undefined;
     this.#leaderSince = Math.min(this.#leaderSince, now);
-    // A new leader does not know what the others are running yet.
+    // A new leader first collects the demand of the hosts: it does not know yet how
+    // many requests they run and would grant occupied slots.
     if (now - this.#leaderSince < constants.LEADER_WARMUP_MS) return undefined;
     this.#allocateSoon();
     const grants = this.#grants.get(host);
@@ -111,18 +118,18 @@
       leader: this.#options.host,
       failureDomain: this.#options.failureDomain,
       grants,
-      servers: this.#visitors.has(host)
+      servers: this.#remoteHosts.has(host)
         ? this.#allocator.listLentServers(host, this.#listCapacities())
         : [],
     };
   }
 
-  /** Takes grants that a leader pushed. */
+  /** Applies grants that a capacity leader pushed. */
   takeGrants(message: peer.GrantMessage): void {
     this.#apply(message, this.#options.clock.now());
   }
 
-  /** Demand for pools over the failure domain, as the leader knows it. */
+  /** Sums the demand of the failure domain's hosts for each pool; complete only at the leader. */
   sumDemand(
     pools: readonly string[],
   ): { pool: string; demand: number; upperDemand: number }[] {
@@ -138,40 +145,40 @@
   }
 
   async #runRound(): Promise<void> {
-    this.#noteHosts();
+    this.#updateHosts();
     if (!this.#isLeader()) this.#leaderSince = Number.POSITIVE_INFINITY;
     const { queued, running } = this.#options.dispatcher.countOpen();
     const idle = queued + running === 0;
-    const since = this.#options.clock.now() - this.#askedAt;
+    const since = this.#options.clock.now() - this.#demandSentAt;
     const due = since >= constants.DEMAND_MS * this.#getScale();
-    // A host that asks for nothing says so once.
-    if (due && !(idle && this.#saidIdle)) await this.#ask();
+    // A host without demand reports that once, then stays silent.
+    if (due && !(idle && this.#idleReported)) await this.#askLeader();
   }
 
-  /** Tells the dispatcher which hosts share the failure domain's servers. */
-  #noteHosts(): void {
+  /** Reports a changed list of the failure domain's hosts to the dispatcher. */
+  #updateHosts(): void {
     const hosts = this.#options.overlay.members.listActive()
       .map((member) => member.name).toSorted();
-    const joined = hosts.join(" ");
-    if (joined === this.#hosts) return;
-    this.#hosts = joined;
+    const hostList = hosts.join(" ");
+    if (hostList === this.#hostList) return;
+    this.#hostList = hostList;
     this.#options.dispatch.send({ kind: "hosts_changed", hosts });
   }
 
-  async #ask(): Promise<void> {
+  async #askLeader(): Promise<void> {
     if (this.#asking) return;
     this.#asking = true;
     const sentAt = this.#options.clock.now();
-    this.#askedAt = sentAt;
+    this.#demandSentAt = sentAt;
     const message = {
       host: this.#options.host,
       demands: this.#options.dispatcher.listDemand(),
     };
     const answer = await this.#sendDemand(message);
-    this.#saidIdle = answer.ok && message.demands.length === 0;
+    this.#idleReported = answer.ok && message.demands.length === 0;
     this.#asking = false;
-    if (answer.err) return this.#recordMiss();
-    this.#misses = 0;
+    if (answer.err) return this.#recordFailedDemand();
+    this.#failedDemands = 0;
     if (answer.val !== undefined) this.#apply(answer.val, sentAt);
   }
 
@@ -193,11 +200,13 @@
     return answer.map((grant) => grant ?? undefined);
   }
 
-  /** A host that cannot reach its leader goes on with all slots it sees. */
-  #recordMiss(): void {
-    this.#misses += 1;
-    if (this.#misses !== constants.LOST_LEADER_TRIES) return;
-    this.#options.log.warn("Capacity leader lost; grants dropped.");
+  /** Drops the grants after several failed demands: a host that cannot reach the leader then uses all slots that it sees. */
+  #recordFailedDemand(): void {
+    this.#failedDemands += 1;
+    if (this.#failedDemands !== constants.MAX_FAILED_DEMANDS) return;
+    this.#options.log.warn(
+      "Capacity leader unreachable; continuing without grants.",
+    );
     this.#options.dispatch.send({ kind: "grants_lost" });
   }
 
@@ -211,13 +220,13 @@
     );
   }
 
-  /** Allocates now, or once 50 ms have passed since the last time. */
+  /** Allocates now, or as soon as {@link constants.ALLOCATE_MS} have passed since the last allocation. */
   #allocateSoon(): void {
     const now = this.#options.clock.now();
     const due = this.#allocatedAt + constants.ALLOCATE_MS - now;
     if (due <= 0) return this.#allocate();
-    this.#scheduled ??= setTimeout(() => {
-      this.#scheduled = undefined;
+    this.#allocateTimer ??= setTimeout(() => {
+      this.#allocateTimer = undefined;
       this.#allocate();
     }, due);
   }
@@ -257,7 +266,7 @@
     const message = this.#buildMessage(host, grants);
     if (host === this.#options.host) return this.takeGrants(message);
     const address = this.#options.overlay.members.get(host)?.address ??
-      this.#visitors.get(host);
+      this.#remoteHosts.get(host);
     if (address === undefined) return;
     void this.#options.clients.call(
       { address, step: "peer.grants" },
@@ -266,13 +275,13 @@
   }
 }
 
-/** Whether a grant takes slots back for a higher tier, and did not before. */
+/** Whether a grant recalls slots for a higher tier and differs from the grant before. */
 function isRecall(
   grant: core.Grant,
   before: readonly core.Grant[] | undefined,
 ): boolean {
   if (grant.recallForTier === 0) return false;
-  const last = before?.find((one) => one.pool === grant.pool);
+  const last = before?.find((candidate) => candidate.pool === grant.pool);
   return JSON.stringify(last?.limits) !== JSON.stringify(grant.limits) ||
     last?.recallForTier !== grant.recallForTier;
 }
--- a/packages/banyangrade/config_task.ts
+++ b/packages/banyangrade/config_task.ts
@@ -1,6 +1,6 @@
 /**
- * The configuration in force at this host. Relays read and watch the store's
- * log; the other hosts take deltas from peers. A revision only ever grows.
+ * Keeps this host's configuration up to date. Relays read and watch the configuration log
+ * in the store; other hosts pull deltas from their peers. The revision never decreases.
  */
 import * as core from "@banyangrade/core";
 import * as peer from "@banyangrade/peer";
@@ -15,23 +15,26 @@
   readonly clock: utils.Clock;
   readonly log: utils.Logger;
   readonly isRelay: () => boolean;
-  /** Told of each new configuration, and of the keys it no longer holds. */
+  /** Called with each new configuration and the keys that it no longer contains. */
   readonly onChange: (
     configuration: core.Configuration,
     removedKeys: readonly string[],
   ) => void;
-  /** Told the wall-clock time of a reading that found nothing newer. */
+  /**
+   * Called after each successful read of the store with the wall-clock time at which it
+   * began; the configuration is at least as recent.
+   */
   readonly onConfirmed: (wall: number) => void;
 }
 
-/** Owns the configuration. */
+/** Owns the host's configuration. */
 export class ConfigTask {
   readonly #options: ConfigTaskOptions;
   #configuration: core.Configuration = core.EMPTY_CONFIGURATION;
   #changes: core.ConfigChange[] = [];
   #pulling = false;
   #reading = false;
-  #stopWatch: (() => void) | undefined;
+  #endWatch: (() => void) | undefined;
   #stops: (() => void)[] = [];
 
   constructor(options: ConfigTaskOptions) {
@@ -42,24 +45,24 @@
     return this.#configuration;
   }
 
-  /** Takes the newest configuration from the first source that answers, then keeps up. */
+  /** Loads the configuration from the first seed that answers, or else from the store, and then keeps it up to date. */
   async start(seeds: readonly string[]): Promise<void> {
     for (const address of seeds) {
       if (this.#configuration.revision === 0) await this.pull(address);
     }
     if (this.#configuration.revision === 0) await this.#read();
     this.#stops = [
-      utils.startInterval(constants.CONFIRM_MS, () => this.#keepUp()),
+      utils.startInterval(constants.CONFIG_READ_MS, () => this.#pollLog()),
     ];
-    await this.#keepUp();
+    await this.#pollLog();
   }
 
   stop(): void {
     this.#stops.forEach((stop) => stop());
-    this.#stopWatch?.();
+    this.#endWatch?.();
   }
 
-  /** Returns what a host at `revision` is missing. */
+  /** Returns the changes after `revision`, or a snapshot if they are no longer kept. */
   getDelta(revision: number): peer.ConfigDelta {
     const changes = this.#changes.filter((change) =>
       change.revision > revision
@@ -74,7 +77,7 @@
     };
   }
 
-  /** Takes what is missing from a host that is ahead. */
+  /** Pulls the missing changes from a host with a higher revision. */
   async pull(address: string): Promise<void> {
     if (this.#pulling) return;
     this.#pulling = true;
@@ -93,19 +96,22 @@
         delta.changes.forEach((change) => this.#apply(change));
         return;
       case "snapshot":
-        this.#options.log.info({ address }, "Snapshot taken from a peer.");
+        this.#options.log.info(
+          { address },
+          "Configuration snapshot received from a peer.",
+        );
         this.#set(core.loadSnapshot(delta.snapshot), []);
     }
   }
 
-  /** Relays watch and read the log; a host that is no relay any more stops. */
-  async #keepUp(): Promise<void> {
+  /** Reads the configuration log and makes sure that it is watched if this host is a relay; otherwise ends the watch. */
+  async #pollLog(): Promise<void> {
     if (!this.#options.isRelay()) {
-      this.#stopWatch?.();
-      this.#stopWatch = undefined;
+      this.#endWatch?.();
+      this.#endWatch = undefined;
       return;
     }
-    this.#stopWatch ??= store.watchLog(
+    this.#endWatch ??= store.watchLog(
       this.#options.store,
       (event) => this.#handleWatch(event),
     );
@@ -125,8 +131,8 @@
         return;
       case "ended":
         setTimeout(() => {
-          this.#stopWatch = undefined;
-        }, constants.REWATCH_MS).unref();
+          this.#endWatch = undefined;
+        }, constants.WATCH_RETRY_MS).unref();
     }
   }
 
@@ -140,21 +146,24 @@
     );
     this.#reading = false;
     if (read.err) {
-      this.#options.log.warn({ error: read.val }, "Store not read.");
+      this.#options.log.warn(
+        { error: read.val },
+        "Reading the configuration from the store failed.",
+      );
       return;
     }
     this.#set(read.val.configuration, read.val.changes);
     this.#options.onConfirmed(readAt);
   }
 
-  /** Applies one change; false if it does not follow what is known. */
+  /** Applies one change. Returns false if changes between the current revision and this one are missing. */
   #apply(change: core.ConfigChange): boolean {
     const next = core.applyChange(this.#configuration, change);
     if (next.ok) this.#set(next.val, [change]);
     return next.ok || next.val === "stale";
   }
 
-  /** The only place that replaces the configuration; it never goes back. */
+  /** Replaces the configuration, unless the revision is not higher. */
   #set(
     next: core.Configuration,
     changes: readonly core.ConfigChange[],
@@ -164,11 +173,15 @@
     const removedKeys = [...this.#configuration.keys.keys()]
       .filter((name) => !next.keys.has(name));
     this.#configuration = next;
-    // Changes that do not follow the kept ones would leave a gap in a delta.
+    // Kept changes are dropped if the new ones do not follow them directly: a delta
+    // must have no gap.
     const follows = changes[0]?.revision === revision + 1;
     this.#changes = [...(follows ? this.#changes : []), ...changes]
-      .slice(-constants.KEPT_CHANGES);
-    this.#options.log.info({ revision: next.revision }, "Revision in force.");
+      .slice(-constants.MAX_KEPT_CHANGES);
+    this.#options.log.info(
+      { revision: next.revision },
+      "New configuration revision applied.",
+    );
     this.#options.onChange(next, removedKeys);
   }
 }
--- a/packages/banyangrade/constants.ts
+++ b/packages/banyangrade/constants.ts
@@ -1,46 +1,49 @@
-/** Times of the daemon's tasks, in ms unless named otherwise. */
+/** Intervals and limits of a host's tasks; names in _MS are in milliseconds. */
 
-/** Between two looks at queues and deadlines while requests wait. */
+/** Interval between ticks of the dispatcher while requests are queued. */
 export const TICK_MS = 20;
-/** The same while requests run and none waits: for the averages that are told. */
+/** Interval between ticks while requests run and none is queued; keeps the reported averages up to date. */
 export const RUNNING_TICK_MS = 100;
-/** The same while no request is open. */
+/** Interval between ticks while no request is open. */
 export const IDLE_TICK_MS = 250;
-/** Between two demands to the capacity leader. */
+/** Interval between demands to a capacity leader. */
 export const DEMAND_MS = 250;
-/** Hosts up to which demand is sent at the full rate; beyond, more seldom. */
+/**
+ * Number of hosts up to which each sends its demand every {@link DEMAND_MS}; with more
+ * hosts, the interval grows in proportion.
+ */
 export const HOSTS_AT_FULL_RATE = 8;
-/** Least time between two allocations at the leader, and between two urgent demands. */
+/** Shortest time between two allocations at the leader and between two demands of a host. */
 export const ALLOCATE_MS = 50;
-/** A new leader listens for this long before it grants anything. */
+/** Time for which a new leader collects demand before it grants slots. */
 export const LEADER_WARMUP_MS = 600;
-/** Failed demands after which the grants are no longer relied on. */
-export const LOST_LEADER_TRIES = 4;
-/** Between two readings of the store's log by a relay. */
-export const CONFIRM_MS = 2_000;
-/** Before a watch that ended is opened again. */
-export const REWATCH_MS = 500;
-/** Between two listings of the failure domain's servers. */
+/** Number of consecutive failed demands after which a host drops its grants. */
+export const MAX_FAILED_DEMANDS = 4;
+/** Interval at which a relay reads the configuration log in the store. */
+export const CONFIG_READ_MS = 2_000;
+/** Delay before a configuration watch that ended is opened again. */
+export const WATCH_RETRY_MS = 500;
+/** Interval at which the failure domain's servers are listed. */
 export const SERVERS_MS = 2_000;
-/** Between two listings of hosts by a relay. */
+/** Interval at which a relay lists the hosts of all failure domains. */
 export const HOSTS_MS = 10_000;
-/** Between two flushes of usage. */
+/** Interval between usage flushes. */
 export const FLUSH_MS = 1_000;
-/** Between two rounds of window reports. */
+/** Interval between rounds of usage window reports. */
 export const REPORT_MS = 1_000;
-/** Between two rounds of the autoscaler. */
-export const ORDERS_MS = 5_000;
-/** Between two load polls. */
+/** Interval between rounds of the autoscaler. */
+export const AUTOSCALER_MS = 5_000;
+/** Interval between load polls of the engines. */
 export const LOAD_POLL_MS = 1_000;
-/** Servers polled each time. */
+/** Maximum number of servers in a load poll. */
 export const LOAD_POLL_SERVERS = 16;
-/** Margin of a lease for clock drift and scheduling. */
+/** Safety margin of a lease for clock drift and scheduling delays. */
 export const LEASE_MARGIN_MS = 500;
-/** Hosts that try for a control role. */
+/** Number of hosts that compete for a control role. */
 export const ROLE_CANDIDATES = 2;
-/** Changes kept for hosts that are behind. */
-export const KEPT_CHANGES = 1_024;
-/** Between two tries to take back claims whose answers were lost. */
+/** Maximum number of configuration changes kept for hosts with an older revision. */
+export const MAX_KEPT_CHANGES = 1_024;
+/** Interval between attempts to release claims that could not be released before. */
 export const CLAIM_CLEANUP_MS = 2_000;
-/** Longest time a forwarded operation may take. */
+/** Timeout of an operation that is forwarded to the host that issued its ticket. */
 export const TICKET_TIMEOUT_MS = 60_000;
--- a/packages/banyangrade/dispatch_task.ts
+++ b/packages/banyangrade/dispatch_task.ts
@@ -1,11 +1,11 @@
-/** Runs the dispatcher: feeds it events one by one and carries out its effects. */
+/** Runs the dispatcher: passes it events one at a time and applies the effects that it returns. */
 import * as core from "@banyangrade/core";
 import type * as utils from "@banyangrade/utils";
 import * as constants from "./constants.ts";
 import * as loopDelay from "./loop_delay.ts";
 
-/** One open request, to which the effects that concern it are passed. */
-export interface OpenRequest {
+/** Handlers for the effects that concern one open request. */
+export interface RequestEffectHandlers {
   readonly onStart: (
     effect: Extract<core.DispatchEffect, { kind: "start" }>,
   ) => void;
@@ -25,17 +25,17 @@
   readonly onAskCapacity: () => void;
 }
 
-/** Owns the dispatcher and the open requests. */
+/** Owns the dispatcher and the effect handlers of the open requests. */
 export class DispatchTask {
   readonly #options: DispatchTaskOptions;
-  readonly #open = new Map<string, OpenRequest>();
+  readonly #handlers = new Map<string, RequestEffectHandlers>();
   readonly #events: core.DispatchEvent[] = [];
   readonly #delay = new loopDelay.LoopDelay();
-  #ticking: NodeJS.Timeout | undefined;
-  /** When the next look at the time is due, monotonic ms. */
+  #tickTimer: NodeJS.Timeout | undefined;
+  /** Time at which the next tick is due, monotonic ms. */
   #tickAt = Number.POSITIVE_INFINITY;
   #stopped = false;
-  #busy = false;
+  #handling = false;
 
   constructor(options: DispatchTaskOptions) {
     this.#options = options;
@@ -50,46 +50,49 @@
     this.send({ kind: "ticked" });
   }
 
-  /** Time until the next look: time decides about requests that wait; what runs and what rests has no use for it. */
+  /**
+   * Returns the time until the next tick, in ms. Ticks are frequent only while requests
+   * are queued, because the passing of time affects only their handling.
+   */
   #getTickMs(): number {
     if (this.#options.dispatcher.countOpen().queued > 0) {
       return constants.TICK_MS;
     }
-    return this.#open.size > 0
+    return this.#handlers.size > 0
       ? constants.RUNNING_TICK_MS
       : constants.IDLE_TICK_MS;
   }
 
-  /** Has the next look come in time for what is open now. */
+  /** Moves the next tick forward if the open requests need an earlier one. */
   #scheduleTick(): void {
     const ms = this.#getTickMs();
     const at = this.#options.clock.now() + ms;
     if (this.#stopped || this.#tickAt <= at) return;
-    clearTimeout(this.#ticking);
+    clearTimeout(this.#tickTimer);
     this.#tickAt = at;
-    this.#ticking = setTimeout(() => this.#tick(), ms);
+    this.#tickTimer = setTimeout(() => this.#tick(), ms);
   }
 
-  /** Opens a request; its effects go to `handlers` until it is closed. */
-  open(request: core.Request, handlers: OpenRequest): void {
-    this.#open.set(request.id, handlers);
+  /** Opens a request; its effects are passed to `handlers` until it is closed. */
+  open(request: core.Request, handlers: RequestEffectHandlers): void {
+    this.#handlers.set(request.id, handlers);
     this.send({ kind: "arrived", request });
   }
 
-  /** Closes a request that got its answer. */
+  /** Closes a request that was answered or cancelled. */
   close(requestId: string): void {
-    this.#open.delete(requestId);
+    this.#handlers.delete(requestId);
   }
 
   /**
-   * Handles an event and what follows from it. An effect may send further
-   * events; they are handled after it, so the dispatcher is never entered
-   * twice.
+   * Handles an event and applies its effects. An effect may send further events;
+   * they are queued and handled afterwards, so that calls of the dispatcher are
+   * never nested.
    */
   send(event: core.DispatchEvent): void {
     this.#events.push(event);
-    if (this.#busy) return;
-    this.#busy = true;
+    if (this.#handling) return;
+    this.#handling = true;
     try {
       for (
         let next = this.#events.shift();
@@ -98,59 +101,59 @@
       ) {
         const now = this.#options.clock.now();
         this.#options.dispatcher.handle(next, now)
-          .forEach((effect) => this.#carryOut(effect));
+          .forEach((effect) => this.#applyEffect(effect));
       }
     } finally {
-      this.#busy = false;
+      this.#handling = false;
       this.#scheduleTick();
     }
   }
 
-  /** What this host asks of each model or service. */
+  /** Returns this host's demand for each model or service. */
   countByTarget(): Record<string, core.PromptDemand> {
     return this.#options.dispatcher.countByTarget();
   }
 
-  /** Requests running at each engine. */
+  /** Counts this host's running requests at each engine. */
   countByEngine(): Record<string, number> {
     return this.#options.dispatcher.countByEngine();
   }
 
-  /** Prompt tokens that each engine has not yet read. */
+  /** Counts this host's prompt tokens for which prefill is pending at each engine. */
   countPrompting(): Record<string, number> {
     return this.#options.dispatcher.countPendingPrefill();
   }
 
-  /** Takes over how a service's engines are divided. */
+  /** Applies the division of a service's engines among the hosts. */
   setDivision(target: string, division: core.EngineDivision): void {
     this.#options.dispatcher.setDivision(target, division);
   }
 
   countOpen(): number {
-    return this.#open.size;
+    return this.#handlers.size;
   }
 
-  /** How long this process lately took to notice what happened, in ms. */
+  /** Returns the recent delay of this process's event loop, in ms. */
   getLoopDelay(): number {
     return this.#delay.get(this.#options.clock.now());
   }
 
   stop(): void {
     this.#stopped = true;
-    clearTimeout(this.#ticking);
+    clearTimeout(this.#tickTimer);
   }
 
-  #carryOut(effect: core.DispatchEffect): void {
+  #applyEffect(effect: core.DispatchEffect): void {
     switch (effect.kind) {
       case "start":
-        this.#open.get(effect.request.id)?.onStart(effect);
+        this.#handlers.get(effect.request.id)?.onStart(effect);
         return;
       case "stop":
-        this.#open.get(effect.requestId)?.onStop(effect);
+        this.#handlers.get(effect.requestId)?.onStop(effect);
         return;
       case "refuse":
-        this.#open.get(effect.requestId)?.onRefuse(effect.refusal);
-        this.#open.delete(effect.requestId);
+        this.#handlers.get(effect.requestId)?.onRefuse(effect.refusal);
+        this.#handlers.delete(effect.requestId);
         return;
       case "suspect":
         return this.#options.onSuspect(effect);
--- a/packages/banyangrade/exchange.ts
+++ b/packages/banyangrade/exchange.ts
@@ -1,4 +1,4 @@
-/** What exchanges of both kinds have in common: measuring, usage and refusal. */
+/** Code that generations and service calls share: timeouts, metrics, usage and refusals. */
 import type * as caller from "@banyangrade/caller";
 import type * as core from "@banyangrade/core";
 import type * as utils from "@banyangrade/utils";
@@ -7,7 +7,7 @@
 import type * as refusals from "./recent_refusals.ts";
 import type * as usage from "./usage_task.ts";
 
-/** What an exchange needs of its host. */
+/** Services of the host that an exchange uses. */
 export interface ExchangeContext {
   readonly clock: utils.Clock;
   readonly log: utils.Logger;
@@ -17,48 +17,55 @@
   readonly usage: usage.UsageTask;
 }
 
-/** Targets missed by so much mean that an attempt hangs and is tried elsewhere. */
-const HANG_FACTOR = 4;
-/** Least time before an attempt counts as hanging, in ms. */
-const MIN_HANG_MS = 3_000;
-/** Wait for an answer that cannot be sooner, or that may not be repeated, in ms. */
-const PATIENT_MS = 120_000;
+/** Multiple of a latency target after which a silent attempt times out and is retried at another server. */
+const TIMEOUT_TARGET_FACTOR = 4;
+/** Shortest timeout of an attempt that can be retried, in ms. */
+const MIN_TIMEOUT_MS = 3_000;
+/** Timeout of an attempt that is not streamed or not idempotent, in ms. */
+const RESPONSE_TIMEOUT_MS = 120_000;
 
-/** How long an attempt may keep silent, in ms. */
-export interface Patience {
+/** Times for which an attempt may send no data, in ms. */
+export interface ResponseTimeouts {
   readonly firstByteMs: number;
   readonly betweenMs: number;
 }
 
 /**
- * Returns how long an attempt may keep silent. Trying again early helps only
- * what may be repeated and shows signs of life before it is whole.
+ * Returns the timeouts of an attempt. They are derived from the latency targets only
+ * for idempotent requests with a streamed response: other requests may not be
+ * retried, or send nothing before the response is complete, so that silence does not
+ * show a failure.
  *
  * @example
- * getPatience(part, { repeatable: true, stream: true }).firstByteMs;
+ * getResponseTimeouts(part, { repeatable: true, stream: true }).firstByteMs;
  */
-export function getPatience(
+export function getResponseTimeouts(
   part: core.ClassPart,
   options: { readonly repeatable: boolean; readonly stream: boolean },
-): Patience {
+): ResponseTimeouts {
   if (!options.repeatable || !options.stream) {
-    return { firstByteMs: PATIENT_MS, betweenMs: PATIENT_MS };
+    return { firstByteMs: RESPONSE_TIMEOUT_MS, betweenMs: RESPONSE_TIMEOUT_MS };
   }
-  const hang = (ms: number) => Math.max(MIN_HANG_MS, HANG_FACTOR * ms);
+  const toTimeout = (ms: number) =>
+    Math.max(MIN_TIMEOUT_MS, TIMEOUT_TARGET_FACTOR * ms);
   return {
-    firstByteMs: hang(part.firstTokenMs),
-    betweenMs: hang(part.betweenTokensMs),
+    firstByteMs: toTimeout(part.firstTokenMs),
+    betweenMs: toTimeout(part.betweenTokensMs),
   };
 }
 
-/** Measures one request from arrival to end. */
+/** Records the metrics and the usage of one request. */
 export class ExchangeRecord {
   readonly #context: ExchangeContext;
   readonly #request: core.Request;
   readonly #part: core.ClassPart;
+  /** Start of the first attempt, monotonic ms; 0 before it. */
   #startedAt = 0;
+  /** Time of the first token, monotonic ms; 0 before it. */
   #firstAt = 0;
+  /** Tokens that were sent to the caller. */
   #tokens = 0;
+  /** Tokens that are not billed because the response is incomplete. */
   #wasted = 0;
 
   constructor(
@@ -77,7 +84,7 @@
     if (this.#startedAt === 0) this.#startedAt = this.#context.clock.now();
   }
 
-  /** Records tokens that were passed to the caller. */
+  /** Records tokens that were sent to the caller. */
   recordTokens(tokens: number): void {
     if (this.#firstAt === 0) this.#firstAt = this.#context.clock.now();
     this.#tokens += tokens;
@@ -87,21 +94,21 @@
     return this.#tokens;
   }
 
-  /** Records a whole answer: it is billed and measured. */
+  /** Records a complete response and bills it. */
   finish(outputTokens: number): void {
     const now = this.#context.clock.now();
     if (this.#firstAt === 0) this.#firstAt = now;
-    const sinceArrival = (at: number) => at - this.#request.arrivedAt;
-    const firstTokenMs = sinceArrival(this.#firstAt);
+    const getTimeSinceArrival = (at: number) => at - this.#request.arrivedAt;
+    const firstTokenMs = getTimeSinceArrival(this.#firstAt);
     const betweenTokensMs = this.#tokens > 1
       ? (now - this.#firstAt) / (this.#tokens - 1)
       : 0;
     this.#context.metrics.recordFinished({
       className: this.#request.className,
       customer: this.#request.customer,
-      queueMs: sinceArrival(this.#startedAt || now),
+      queueMs: getTimeSinceArrival(this.#startedAt || now),
       firstTokenMs,
-      totalMs: sinceArrival(now),
+      totalMs: getTimeSinceArrival(now),
       betweenTokensMs,
       withinTarget: firstTokenMs <= this.#part.firstTokenMs &&
         betweenTokensMs <= this.#part.betweenTokensMs,
@@ -110,7 +117,7 @@
     this.#recordUsage({ requests: 1, outputTokens });
   }
 
-  /** Records that the request ended without a whole answer: nothing is billed. */
+  /** Records that the request ended without a complete response; its tokens count as wasted and are not billed. */
   abandon(): void {
     this.#wasted += this.#tokens;
     this.#context.metrics.recordTokens("wasted", this.#wasted);
@@ -134,7 +141,7 @@
 }
 
 /**
- * Refuses a caller and notes it in the log and the metrics.
+ * Sends a caller a refusal and records it in the log, the metrics and the recent refusals.
  *
  * @example
  * refuseCaller(context, { answer, refusal, requestId });
@@ -156,12 +163,12 @@
 type StartEffect = Extract<core.DispatchEffect, { kind: "start" }>;
 
 /**
- * Tells the dispatcher of a whole answer and closes the request.
+ * Reports a complete response to the dispatcher and closes the request.
  *
  * @example
- * closeFinished(context, { effect, tokens });
+ * finishRequest(context, { effect, tokens });
  */
-export function closeFinished(
+export function finishRequest(
   context: Pick<ExchangeContext, "dispatch">,
   { effect, tokens }: { readonly effect: StartEffect; readonly tokens: number },
 ): void {
@@ -172,7 +179,8 @@
 }
 
 /**
- * Notes a failed attempt and tells the dispatcher, which decides what follows.
+ * Records a failed attempt and reports it to the dispatcher, which retries or refuses
+ * the request.
  *
  * @example
  * reportFailure(context, { effect, failure, answerStarted, resumable });
--- a/packages/banyangrade/generate_exchange.ts
+++ b/packages/banyangrade/generate_exchange.ts
@@ -1,4 +1,4 @@
-/** One generation request from its arrival to its answer, over all attempts. */
+/** Runs one generation request from its arrival to its response, over all attempts. */
 import * as undici from "undici";
 import type * as caller from "@banyangrade/caller";
 import type * as core from "@banyangrade/core";
@@ -10,14 +10,14 @@
   completion: "/v1/completions",
 } as const;
 
-/** What a generation exchange is made of. */
-export interface GenerateOptions {
+/** Options of {@link openGeneration}. */
+export interface GenerationOptions {
   readonly agent: undici.Agent;
   readonly request: core.Request;
   readonly part: core.ClassPart;
   readonly api: "chat" | "completion";
   readonly stream: boolean;
-  /** The caller's body without its key. */
+  /** Request body, from which the caller's key was removed. */
   readonly body: Readonly<Record<string, unknown>>;
   readonly answer: caller.CallerAnswer;
 }
@@ -25,51 +25,52 @@
 type StartEffect = Extract<core.DispatchEffect, { kind: "start" }>;
 
 /**
- * Opens a generation request at the dispatcher and sees it to its end.
+ * Opens a generation request at the dispatcher and runs it until it is answered, refused
+ * or cancelled.
  *
  * @example
- * openGenerate(context, options);
+ * openGeneration(context, options);
  */
-export function openGenerate(
+export function openGeneration(
   context: exchange.ExchangeContext,
-  options: GenerateOptions,
+  options: GenerationOptions,
 ): void {
   const { request, answer } = options;
   const requestId = request.id;
   const record = new exchange.ExchangeRecord(context, options);
-  let abort = new AbortController();
+  let currentController = new AbortController();
 
   async function runAttempt(effect: StartEffect): Promise<void> {
-    const own = new AbortController();
-    abort = own;
+    const controller = new AbortController();
+    currentController = controller;
     record.recordStart();
     const outcome = await engine.runAttempt(options.agent, {
-      call: buildCall(effect, { options, signal: own.signal }),
+      call: buildCall(effect, { options, signal: controller.signal }),
       sink: {
-        onAnswer: (whole) =>
+        onAnswer: (response) =>
           answer.send({
-            status: whole.status,
+            status: response.status,
             headers: { "content-type": "application/json" },
-            body: whole.body,
+            body: response.body,
           }),
-        onEvents: (events) => passOn(effect, { events, own }),
+        onEvents: (events) => forwardEvents(effect, { events, controller }),
         onLoad: (report) =>
           context.dispatch.send({ kind: "load_reported", report }),
       },
     });
-    end(effect, outcome);
+    endAttempt(effect, outcome);
   }
 
-  async function passOn(
+  async function forwardEvents(
     effect: StartEffect,
-    { events, own }: {
+    { events, controller }: {
       readonly events: readonly string[];
-      readonly own: AbortController;
+      readonly controller: AbortController;
     },
   ): Promise<void> {
-    // An attempt that was stopped may still have data under way; the next one
-    // brings those tokens again from the offset.
-    if (own.signal.aborted) return;
+    // Drops data that a stopped attempt had already received: the next attempt
+    // sends those tokens again, from its offset.
+    if (controller.signal.aborted) return;
     record.recordTokens(events.length);
     context.dispatch.send({
       kind: "progressed",
@@ -80,12 +81,15 @@
     await answer.sendEvents(events);
   }
 
-  function end(effect: StartEffect, outcome: engine.EngineOutcome): void {
+  function endAttempt(
+    effect: StartEffect,
+    outcome: engine.EngineOutcome,
+  ): void {
     switch (outcome.kind) {
       case "aborted":
         return;
       case "whole":
-        exchange.closeFinished(context, {
+        exchange.finishRequest(context, {
           effect,
           tokens: effect.offset + outcome.tokens,
         });
@@ -109,7 +113,7 @@
   });
   context.dispatch.open(request, {
     onStart: (effect) => void runAttempt(effect),
-    onStop: () => abort.abort(),
+    onStop: () => currentController.abort(),
     onRefuse: (refusal) => {
       exchange.refuseCaller(context, { answer, refusal, requestId });
       record.abandon();
@@ -120,7 +124,7 @@
 function buildCall(
   effect: StartEffect,
   { options, signal }: {
-    readonly options: GenerateOptions;
+    readonly options: GenerationOptions;
     readonly signal: AbortSignal;
   },
 ): engine.EngineCall {
@@ -132,7 +136,7 @@
     body: JSON.stringify({ ...options.body, priority: effect.request.tier }),
     stream: options.stream,
     offset: effect.offset,
-    ...exchange.getPatience(options.part, {
+    ...exchange.getResponseTimeouts(options.part, {
       repeatable: true,
       stream: options.stream,
     }),
--- a/packages/banyangrade/host.ts
+++ b/packages/banyangrade/host.ts
@@ -1,4 +1,4 @@
-/** An entry host: all its tasks, put together, started and stopped. */
+/** Starts and stops a host that serves callers by API keys and classes. */
 import * as caller from "@banyangrade/caller";
 import * as engine from "@banyangrade/engine";
 import * as peer from "@banyangrade/peer";
@@ -11,9 +11,9 @@
 
 /** A running host. */
 export interface Host {
-  /** Stops gracefully: nothing new is taken, what runs is finished. */
+  /** Stops gracefully: accepts no new requests and finishes the running ones, up to the drain time. */
   readonly drain: () => Promise<void>;
-  /** Stops at once. */
+  /** Stops immediately; running requests are aborted. */
   readonly close: () => Promise<void>;
 }
 
@@ -102,8 +102,8 @@
         maxBufferedBytes: settings.caller.max_buffered_bytes,
         maxConnections: settings.caller.max_connections,
       },
-      acceptHead: (head) => parts.front.acceptHead(head),
-      onRequest: (request) => parts.front.handle(request),
+      acceptHead: (head) => parts.requestHandler.acceptHead(head),
+      onRequest: (request) => parts.requestHandler.handle(request),
     }),
     operations: await operations.startOperationsServer({
       ...split(settings.operations.address),
@@ -122,9 +122,9 @@
     takeDemand: (message) => parts.capacity.takeDemand(message),
     takeGrants: (message) => parts.capacity.takeGrants(message),
     listRemoteContacts: () => parts.overlay.listRemoteContacts(),
-    takeUsage: (message) => parts.usage.take(message),
+    takeUsage: (message) => parts.usage.takeBatches(message),
     sumDemand: (pools) => parts.capacity.sumDemand(pools),
-    runTicket: (message) => parts.front.runTicket(message),
+    runTicket: (message) => parts.requestHandler.runTicket(message),
     getRevision: () => parts.config.get().revision,
     listRevisions: (scope) => statusModule.listRevisions(parts, scope),
     withdrawKey: (keyId) => parts.overlay.addWithdrawn(keyId),
@@ -147,7 +147,7 @@
   return () => stops.forEach((stop) => stop());
 }
 
-/** An unanswered listing changes nothing: the last one is better than none. */
+/** Updates the list of servers. If the fleet does not answer, the last list stays in use. */
 async function pollServers(parts: hostParts.HostParts): Promise<void> {
   const domain = parts.settings.host.failure_domain;
   const listed = await parts.fleet.listServers(domain);
@@ -157,7 +157,7 @@
 
 async function pollLoad(parts: hostParts.HostParts): Promise<void> {
   const engines = parts.dispatcher.inspect().servers.filter((server) =>
-    // An idle server says all there is to know when it is used again.
+    // Idle servers are skipped; they report their load with the next response.
     server.pool.serves === "engine" && server.running > 0
   ).slice(0, constants.LOAD_POLL_SERVERS);
   await Promise.all(engines.map(async (server) => {
@@ -176,9 +176,9 @@
   );
 }
 
-/** Between two looks at what is still running during a drain, in ms. */
+/** Interval at which a draining host checks for running requests, in ms. */
 const DRAIN_POLL_MS = 50;
-/** Time for the balancer to see that the host is not ready, in ms. */
+/** Time for the load balancer to notice that the host is not ready, in ms. */
 const DRAIN_NOTICE_MS = 500;
 
 async function drainHost(
@@ -187,14 +187,17 @@
 ): Promise<void> {
   const { settings, state, clock, log } = parts;
   state.draining = true;
-  log.info({ open: parts.dispatch.countOpen() }, "Draining.");
+  log.info(
+    { open: parts.dispatch.countOpen() },
+    "Draining; waiting for open requests.",
+  );
   await Promise.all(parts.roles.map((role) => role.release()));
-  // Not ready first, while requests are still taken: a balancer that has not
-  // looked yet goes on sending, and none of these is cut either.
+  // The host reports itself not ready before it stops accepting requests, because the
+  // load balancer sends more until it notices, and those must not be cut off.
   await utils.waitFor(DRAIN_NOTICE_MS);
   servers.caller.drain();
-  const until = clock.now() + settings.control.drain_seconds * 1_000;
-  while (parts.dispatch.countOpen() > 0 && clock.now() < until) {
+  const deadline = clock.now() + settings.control.drain_seconds * 1_000;
+  while (parts.dispatch.countOpen() > 0 && clock.now() < deadline) {
     await utils.waitFor(DRAIN_POLL_MS);
   }
   await parts.usage.stop();
--- a/packages/banyangrade/host_parts.ts
+++ b/packages/banyangrade/host_parts.ts
@@ -1,7 +1,7 @@
 /**
- * The parts of a host and how they are connected. They refer to each other, so
- * they are added to one draft, step by step, and look each other up when they
- * are called.
+ * Builds and connects the components of a host that serves callers by API keys and
+ * classes. The components refer to each other, so they are added to one object step by
+ * step and look each other up when they are called.
  */
 import * as core from "@banyangrade/core";
 import * as fleet from "@banyangrade/fleet";
@@ -14,11 +14,11 @@
 import * as configTask from "./config_task.ts";
 import * as constants from "./constants.ts";
 import * as dispatchTask from "./dispatch_task.ts";
-import * as front from "./front.ts";
+import * as callerRequestHandler from "./caller_request_handler.ts";
 import * as metricsModule from "./metrics.ts";
-import * as guard from "./operation_guard.ts";
+import * as operationGuard from "./operation_guard.ts";
 import * as overflowTask from "./overflow_task.ts";
-import * as ordersTask from "./orders_task.ts";
+import * as autoscalerTask from "./autoscaler_task.ts";
 import * as refusalsModule from "./recent_refusals.ts";
 import * as settingsModule from "./settings.ts";
 import * as usageTask from "./usage_task.ts";
@@ -26,11 +26,11 @@
 /** Options of {@link buildParts}. */
 export interface HostOptions {
   readonly log: utils.Logger;
-  /** Told that an operator asks for a planned stop. */
+  /** Called when an operator requests a drain. */
   readonly onDrainAsked: () => void;
 }
 
-/** Everything a host is made of. */
+/** The components of a host, except its network servers. */
 export interface HostParts {
   readonly settings: settingsModule.Settings;
   readonly host: string;
@@ -47,26 +47,27 @@
   readonly config: configTask.ConfigTask;
   readonly dispatcher: core.Dispatcher;
   readonly dispatch: dispatchTask.DispatchTask;
-  /** Keys withdrawn ahead of the configuration, for as long as this process runs. */
+  /** Keys that were withdrawn before the configuration without them arrived; kept until the process ends. */
   readonly withdrawn: Set<string>;
   readonly capacity: capacityTask.CapacityTask;
   readonly overflow: overflowTask.OverflowTask;
   readonly usage: usageTask.UsageTask;
-  readonly orders: ordersTask.OrdersTask;
+  readonly orders: autoscalerTask.AutoscalerTask;
   readonly roles: readonly store.LeaseHolder[];
-  readonly storeGuard: guard.StoreGuard;
-  readonly front: front.Front;
+  readonly storeGuard: operationGuard.StoreGuard;
+  readonly requestHandler: callerRequestHandler.CallerRequestHandler;
   readonly metrics: metricsModule.Metrics;
   readonly refusals: refusalsModule.RecentRefusals;
   readonly onDrainAsked: () => void;
   readonly agent: ReturnType<typeof utils.createBackendAgent>;
 }
 
-/** Parts while they are being added. */
+/** The components while they are being added. */
 type Draft = { -readonly [Name in keyof HostParts]: HostParts[Name] };
 
 /**
- * Builds all parts; nothing is started but the tries for control roles.
+ * Builds all components without starting them, except the lease holders, which begin to
+ * compete for the control roles.
  *
  * @example
  * const parts = buildParts(settings, { log, onDrainAsked });
@@ -81,12 +82,12 @@
   addConfig(draft);
   addCapacity(draft);
   addRoles(draft);
-  addFront(draft);
+  addRequestHandler(draft);
   addGauges(draft);
   return draft;
 }
 
-/** What refers to no other part. */
+/** Builds the components that refer to no other one. */
 function buildBase(
   settings: settingsModule.Settings,
   options: HostOptions,
@@ -134,7 +135,7 @@
         ...effect.mark,
         until: draft.clock.wall() + core.constants.QUARANTINE_MS,
       }),
-    onAskCapacity: () => draft.capacity.askNow(),
+    onAskCapacity: () => draft.capacity.askLeaderNow(),
   });
 }
 
@@ -144,7 +145,7 @@
     self: {
       name: draft.host,
       address: settingsModule.getAdvertisedAddress(settings),
-      // Higher than whatever an earlier run under this name reached.
+      // Higher than the incarnation that an earlier run of this host reached.
       incarnation: Math.floor(draft.clock.wall() / 1_000),
       status: "alive",
     },
@@ -202,18 +203,18 @@
   });
 }
 
-/** The tasks of the control roles, and the tries for them. */
+/** Adds the tasks of the control roles and starts their lease holders. */
 function addRoles(draft: Draft): void {
   const { settings } = draft;
   const usageHolder = startRole(draft, {
     role: "usage",
     flightMs: usage.REPORT_FLIGHT_MS,
   });
-  const ordersHolder = startRole(draft, {
+  const autoscalerHolder = startRole(draft, {
     role: "orders",
     flightMs: fleet.ORDER_FLIGHT_MS,
   });
-  draft.roles = [usageHolder, ordersHolder];
+  draft.roles = [usageHolder, autoscalerHolder];
   draft.usage = new usageTask.UsageTask({
     ...draft,
     log: getLog(draft, "usage"),
@@ -223,10 +224,10 @@
     windowMs: settings.usage.window_seconds * 1_000,
     graceMs: settings.usage.grace_seconds * 1_000,
   });
-  draft.orders = new ordersTask.OrdersTask({
+  draft.orders = new autoscalerTask.AutoscalerTask({
     ...draft,
     log: getLog(draft, "orders"),
-    holder: ordersHolder,
+    holder: autoscalerHolder,
   });
 }
 
@@ -259,13 +260,13 @@
   });
 }
 
-function addFront(draft: Draft): void {
+function addRequestHandler(draft: Draft): void {
   const { settings, clock, host, incarnation } = draft;
-  draft.storeGuard = new guard.StoreGuard({
+  draft.storeGuard = new operationGuard.StoreGuard({
     claims: store.createClaimKeeper({ store: draft.store, host, clock }),
     log: getLog(draft, "operation"),
   });
-  draft.front = new front.Front({
+  draft.requestHandler = new callerRequestHandler.CallerRequestHandler({
     ...draft,
     log: getLog(draft, "caller"),
     getConfiguration: () => draft.config.get(),
@@ -273,7 +274,7 @@
     isFresh: () =>
       clock.wall() - draft.overlay.getConfirmedAt() <=
         settings.control.offline_seconds * 1_000,
-    ticketGuard: new guard.TicketGuard({
+    ticketGuard: new operationGuard.TicketGuard({
       origin: { host, incarnation },
       clients: draft.clients,
       findAddress: (name) => draft.overlay.findAddress(name),
--- a/packages/banyangrade/operation.ts
+++ b/packages/banyangrade/operation.ts
@@ -1,11 +1,12 @@
-/** What an operation is, and how its outcome travels between hosts. */
+/** Identity of operations and the format in which their outcome is sent between hosts. */
 import * as caller from "@banyangrade/caller";
 import type * as peer from "@banyangrade/peer";
 import * as utils from "@banyangrade/utils";
 import type * as guard from "./operation_guard.ts";
 
 /**
- * Computes the digest of what makes two calls the same operation.
+ * Computes the digest that identifies an operation: two calls with the same digest are
+ * the same operation.
  *
  * @example
  * const fingerprint = computeFingerprint(operation, body);
@@ -29,7 +30,8 @@
 }
 
 /**
- * Builds what the host that forwarded an operation passes on to the caller.
+ * Converts an operation's outcome to the response that the forwarding host sends to the
+ * caller.
  *
  * @example
  * return toTicketAnswer(outcome);
--- a/packages/banyangrade/operation_guard.ts
+++ b/packages/banyangrade/operation_guard.ts
@@ -1,7 +1,7 @@
 /**
- * At most once: a call that may not be repeated and carries an idempotency key
- * is claimed before it is dispatched, in the store or, with a ticket, at the
- * host that issued it.
+ * Runs operations at most once. A call that is not idempotent and carries an idempotency
+ * key is claimed before it is dispatched: in the store or, if the key is a ticket, at the
+ * host that issued the ticket.
  */
 import * as core from "@banyangrade/core";
 import type * as peer from "@banyangrade/peer";
@@ -10,7 +10,7 @@
 import type * as call from "./call_exchange.ts";
 import * as constants from "./constants.ts";
 
-/** What the operation is and how to run it, at most once. */
+/** An operation that must run at most once. */
 export interface GuardedOperation {
   readonly customer: string;
   readonly idempotencyKey: string;
@@ -18,12 +18,12 @@
   readonly run: () => Promise<call.CallOutcome>;
 }
 
-/** What the caller gets. */
+/** Outcome of an operation; "repeated" is the kept answer of an earlier run. */
 export type GuardOutcome =
   | call.CallOutcome
   | { readonly kind: "repeated"; readonly answer: store.KeptAnswer };
 
-/** Runs operations whose claim stands in the store. */
+/** Runs operations at most once by claims in the store. */
 export class StoreGuard {
   readonly #claims: store.ClaimKeeper;
   readonly #log: utils.Logger;
@@ -35,15 +35,15 @@
     this.#log = options.log;
   }
 
-  /** Takes back claims that could not be taken back at once. */
+  /** Releases claims that could not be released before: the response to the claim was lost, or the release failed. */
   async tidy(): Promise<void> {
     await this.#claims.tidy();
   }
 
-  /** Claims, runs and settles one operation. */
+  /** Claims an operation, runs it and stores its outcome. */
   async run(operation: GuardedOperation): Promise<GuardOutcome> {
     const outcome = await this.#claims.claim(operation);
-    if (outcome.err) return refuseUnclaimed(outcome.val);
+    if (outcome.err) return refuseClaimFailure(outcome.val);
     switch (outcome.val.kind) {
       case "exists":
         return resolveExisting(outcome.val.claim, operation);
@@ -57,9 +57,12 @@
     operation: GuardedOperation,
   ): Promise<call.CallOutcome> {
     const ended = await operation.run();
-    // The caller does not wait for this: its answer is there already.
+    // The caller's response does not wait for the store.
     void this.#settle(own, ended).catch((thrown) =>
-      this.#log.warn({ error: utils.readMessage(thrown) }, "Claim not settled.")
+      this.#log.warn(
+        { error: utils.readMessage(thrown) },
+        "The outcome of an operation could not be stored with its claim.",
+      )
     );
     return ended;
   }
@@ -67,9 +70,10 @@
   async #settle(own: store.OwnClaim, ended: call.CallOutcome): Promise<void> {
     switch (ended.kind) {
       case "whole":
-        return await this.#claims.complete(own, toKept(ended));
+        return await this.#claims.complete(own, toKeptAnswer(ended));
       case "refused":
-        // Only what certainly did not run may be claimed again.
+        // The operation may be claimed again only if it certainly did not run; otherwise
+        // it could run twice.
         if (ended.refusal.ran === "no") await this.#claims.release(own);
         return;
       case "left":
@@ -78,7 +82,7 @@
   }
 }
 
-function toKept(
+function toKeptAnswer(
   ended: Extract<call.CallOutcome, { kind: "whole" }>,
 ): store.KeptAnswer {
   const type = ended.answer.headers["content-type"];
@@ -89,20 +93,21 @@
   };
 }
 
-function refuseUnclaimed(error: utils.StepError): GuardOutcome {
+function refuseClaimFailure(error: utils.StepError): GuardOutcome {
   return {
     kind: "refused",
     refusal: core.buildRefusal({
       code: "store_unavailable",
-      // This sending did not run, but an earlier one of the same key may have,
-      // here or at another host; only a claim could tell.
+      // This request did not run the operation, but an earlier request with the same
+      // key may have, at this host or another; only the claim could tell.
       ran: "unknown",
       waitMs: 2_000,
       step: error.step,
       peer: error.peer,
-      message: "The operation cannot be claimed now; send it again with the " +
-        "same key. For a new one, take a ticket from POST /operations and " +
-        "send it as the Idempotency-Key: that works without the store.",
+      message:
+        "The store cannot be reached, so the operation was not claimed; " +
+        "retry with the same Idempotency-Key. For a new operation, use a ticket " +
+        "from POST /operations as the Idempotency-Key: it needs no store.",
     }),
   };
 }
@@ -114,7 +119,8 @@
   if (claim.fingerprint !== operation.fingerprint) {
     return refuseConflict({
       ran: "no",
-      message: "The idempotency key was used for another request.",
+      message:
+        "The idempotency key was already used for a different request; use a new key.",
     });
   }
   switch (claim.state.kind) {
@@ -122,13 +128,15 @@
       return refuseConflict({
         ran: "unknown",
         peer: claim.host,
-        message: "The operation is running, or its outcome was lost.",
+        message:
+          "The operation is still running, or its outcome was lost; it may have run.",
       });
     case "done":
       return claim.state.answer === undefined
         ? refuseConflict({
           ran: "yes",
-          message: "The operation ran; its answer was too large to keep.",
+          message:
+            "The operation ran, but its response was too large to store, so it cannot be repeated.",
         })
         : { kind: "repeated", answer: claim.state.answer };
   }
@@ -154,7 +162,7 @@
   readonly findAddress: (host: string) => string | undefined;
 }
 
-/** Runs operations whose ticket this host issued, and forwards the others. */
+/** Runs operations at most once by tickets; operations with another host's ticket are forwarded to that host. */
 export class TicketGuard {
   readonly #options: TicketGuardOptions;
   readonly #tickets = new core.TicketTable<call.CallOutcome>();
@@ -171,7 +179,7 @@
     return ticket;
   }
 
-  /** Whether this very incarnation issued it. */
+  /** Whether a ticket was issued by this incarnation of this host. */
   isOwn(origin: core.TicketOrigin): boolean {
     const own = this.#options.origin;
     return origin.host === own.host && origin.incarnation === own.incarnation;
@@ -189,13 +197,17 @@
       case "conflict":
         return refuseConflict(
           use.reason === "running"
-            ? { ran: "unknown", message: "The operation is running." }
-            : { ran: "no", message: "The ticket is for another request." },
+            ? { ran: "unknown", message: "The operation is still running." }
+            : {
+              ran: "no",
+              message:
+                "The ticket belongs to a different request; get a new ticket.",
+            },
         );
       case "forgotten":
         return refuseConflict({
           ran: "unknown",
-          message: "The ticket is forgotten.",
+          message: "Ticket unknown or expired; the operation may have run.",
         });
     }
   }
@@ -205,8 +217,8 @@
     operation: GuardedOperation,
   ): Promise<call.CallOutcome> {
     const ended = await operation.run();
-    const unrun = ended.kind === "refused" && ended.refusal.ran === "no";
-    if (unrun) this.#tickets.release(ticket);
+    const notRun = ended.kind === "refused" && ended.refusal.ran === "no";
+    if (notRun) this.#tickets.release(ticket);
     else this.#tickets.complete(ticket, ended);
     return ended;
   }
@@ -217,18 +229,18 @@
     message: peer.TicketMessage,
   ): Promise<peer.TicketAnswer | core.Refusal> {
     const address = this.#options.findAddress(origin.host);
-    // A host under the same name with a new incarnation answers `forgotten`.
-    if (address === undefined) return refuseGone(origin);
+    // A host that restarted under the same name does not know the ticket and refuses it.
+    if (address === undefined) return refuseUnreachable(origin);
     const answer = await this.#options.clients.call(
       { address, step: "peer.ticket" },
       (client, signal) => client.ticket.mutate(message, { signal }),
       constants.TICKET_TIMEOUT_MS,
     );
-    return answer.ok ? answer.val : refuseGone(origin);
+    return answer.ok ? answer.val : refuseUnreachable(origin);
   }
 }
 
-function refuseGone(origin: core.TicketOrigin): core.Refusal {
+function refuseUnreachable(origin: core.TicketOrigin): core.Refusal {
   return core.buildRefusal({
     code: "conflict",
     ran: "unknown",
@@ -236,6 +248,6 @@
     step: "operation.forward",
     peer: origin.host,
     message: "The host that issued the ticket cannot be reached; the " +
-      "operation may have run.",
+      "operation may have run. Retry with the same ticket.",
   });
 }
--- a/packages/banyangrade/operation_guard_fuzz_test.ts
+++ b/packages/banyangrade/operation_guard_fuzz_test.ts
@@ -1,4 +1,8 @@
-/** Fuzzing of claims: an operation runs at most once, and "not run" is true. */
+/**
+ * Fuzz test of operations that are claimed in the store: an operation runs at most once,
+ * and a refusal does not claim that it did not run although it did. Callers retry at
+ * several hosts while store calls are lost or delayed and hosts crash.
+ */
 import * as fc from "fast-check";
 import * as tap from "tap";
 import * as core from "@banyangrade/core";
@@ -13,7 +17,7 @@
 const HOSTS = 3;
 const OPERATIONS = 2;
 
-type BackendFate = "whole" | "lost" | "not_run";
+type BackendResult = "whole" | "lost" | "not_run";
 
 type Step =
   | simTesting.WorldStep
@@ -21,7 +25,7 @@
   | {
     readonly kind: "backend";
     readonly pick: number;
-    readonly fate: BackendFate;
+    readonly result: BackendResult;
   }
   | { readonly kind: "tidy"; readonly host: number }
   | { readonly kind: "crash"; readonly host: number };
@@ -42,7 +46,7 @@
     arbitrary: fc.record({
       kind: fc.constant("backend" as const),
       pick: fc.nat({ max: 9 }),
-      fate: fc.constantFrom<BackendFate>("whole", "lost", "not_run"),
+      result: fc.constantFrom<BackendResult>("whole", "lost", "not_run"),
     }),
   },
   {
@@ -55,7 +59,7 @@
   },
 );
 
-interface AtBackend {
+interface RunningOperation {
   readonly operation: number;
   readonly end: (outcome: call.CallOutcome) => void;
 }
@@ -63,7 +67,7 @@
 class Harness {
   readonly world = new simTesting.SimWorld();
   readonly guards: guard.StoreGuard[] = [0, 1, 2].map((at) => this.#create(at));
-  readonly backend: AtBackend[] = [];
+  readonly runningOperations: RunningOperation[] = [];
   readonly ran = new Map<number, number>();
   sends = 0;
   answered = 0;
@@ -89,7 +93,7 @@
           () => this.#send(next.host, next.operation),
         );
       case "backend":
-        this.#endAtBackend(next);
+        this.#endBackendRun(next);
         break;
       case "tidy":
         return await this.world.spawn(
@@ -112,35 +116,47 @@
       fingerprint: `f${operation}`,
       run: () =>
         new Promise((end) => {
-          // Dispatching is running, as far as this host can exclude it.
-          this.backend.push({ operation, end });
+          // From here on the guard must assume that the operation runs.
+          this.runningOperations.push({ operation, end });
         }),
     });
     const ran = this.ran.get(operation) ?? 0;
     this.answered += 1;
     if (outcome.kind === "refused") {
-      const { ran: said } = outcome.refusal;
-      simTesting.assertHolds(said !== "no" || ran === 0, `"not run" that ran`);
-      simTesting.assertHolds(said !== "yes" || ran === 1, `"run" that did not`);
+      const { ran: reported } = outcome.refusal;
+      simTesting.assertHolds(
+        reported !== "no" || ran === 0,
+        `"not run", but it ran`,
+      );
+      simTesting.assertHolds(
+        reported !== "yes" || ran === 1,
+        `"run", but it did not run`,
+      );
     } else if (outcome.kind !== "left") {
-      simTesting.assertHolds(ran === 1, "an answer without a run");
+      simTesting.assertHolds(
+        ran === 1,
+        "answer, but no run",
+      );
     }
   }
 
-  #endAtBackend(next: { pick: number; fate: BackendFate }): void {
-    if (this.backend.length === 0) return;
-    const [one] = this.backend.splice(next.pick % this.backend.length, 1);
-    if (next.fate !== "not_run") {
-      const ran = (this.ran.get(one.operation) ?? 0) + 1;
-      this.ran.set(one.operation, ran);
+  #endBackendRun(next: { pick: number; result: BackendResult }): void {
+    if (this.runningOperations.length === 0) return;
+    const [ended] = this.runningOperations.splice(
+      next.pick % this.runningOperations.length,
+      1,
+    );
+    if (next.result !== "not_run") {
+      const ran = (this.ran.get(ended.operation) ?? 0) + 1;
+      this.ran.set(ended.operation, ran);
       simTesting.assertHolds(ran <= 1, "an operation ran twice");
     }
-    one.end(buildOutcome(next.fate));
+    ended.end(buildOutcome(next.result));
   }
 }
 
-function buildOutcome(fate: BackendFate): call.CallOutcome {
-  switch (fate) {
+function buildOutcome(result: BackendResult): call.CallOutcome {
+  switch (result) {
     case "whole":
       return {
         kind: "whole",
@@ -152,7 +168,7 @@
         kind: "refused",
         refusal: core.buildRefusal({
           code: "backend_failed",
-          ran: fate === "lost" ? "unknown" : "no",
+          ran: result === "lost" ? "unknown" : "no",
         }),
       };
   }
--- a/packages/banyangrade/overflow_task.ts
+++ b/packages/banyangrade/overflow_task.ts
@@ -1,8 +1,7 @@
 /**
- * Slots of other failure domains: while work waits that this failure domain
- * cannot serve, and while work of this host runs elsewhere, demand goes to a
- * host there, which passes it on to its capacity leader. Nothing is sent
- * otherwise.
+ * Requests slots of other failure domains. A demand is sent only while requests are
+ * queued that this failure domain cannot serve, or while requests of this host run in
+ * another. It goes to any host there, which forwards it to its capacity leader.
  */
 import type * as core from "@banyangrade/core";
 import type * as peer from "@banyangrade/peer";
@@ -22,11 +21,11 @@
   readonly address: string;
 }
 
-/** Asks other failure domains for slots. */
+/** Requests slots from other failure domains. */
 export class OverflowTask {
   readonly #options: OverflowTaskOptions;
-  #turn = 0;
-  #busy = false;
+  #listCount = 0;
+  #running = false;
   #stop: () => void = () => undefined;
 
   constructor(options: OverflowTaskOptions) {
@@ -44,37 +43,42 @@
     this.#stop();
   }
 
-  /** One round at a time: a slow failure domain must not pile calls up. */
+  /** Runs one round. Rounds do not overlap, so that calls to a slow failure domain do not accumulate. */
   async #runRound(): Promise<void> {
-    if (this.#busy) return;
-    this.#busy = true;
+    if (this.#running) return;
+    this.#running = true;
     const asked = new Set<string>();
     for (
-      let next = this.#listUnasked(asked);
+      let next = this.#listRemaining(asked);
       next.length > 0;
-      next = this.#listUnasked(asked).filter((domain) => domain.waiting)
+      next = this.#listRemaining(asked).filter((domain) => domain.waiting)
     ) {
       next.forEach((domain) => asked.add(domain.failureDomain));
-      await Promise.all(next.map((domain) => this.#ask(domain)));
+      await Promise.all(next.map((domain) => this.#fetchGrants(domain)));
     }
-    this.#busy = false;
+    this.#running = false;
   }
 
-  /** Goes on to the next failure domain while the one before left work waiting. */
-  #listUnasked(asked: ReadonlySet<string>): core.DomainDemand[] {
-    this.#turn += 1;
-    return this.#options.dispatcher.listOverflow(this.#turn)
+  /**
+   * Lists the failure domains with demand that were not asked in this round. After an
+   * answer, queued requests may move on to the next one.
+   */
+  #listRemaining(asked: ReadonlySet<string>): core.DomainDemand[] {
+    this.#listCount += 1;
+    return this.#options.dispatcher.listOverflow(this.#listCount)
       .filter((domain) => !asked.has(domain.failureDomain));
   }
 
-  async #ask({ failureDomain, demands }: core.DomainDemand): Promise<void> {
+  async #fetchGrants(
+    { failureDomain, demands }: core.DomainDemand,
+  ): Promise<void> {
     const { clock, host, address, dispatch } = this.#options;
     const asOf = clock.now();
     const message = { host, demands, visitor: address };
     const grant = await this.#sendDemand(failureDomain, message) ??
       await this.#sendDemand(failureDomain, message);
-    // No answer is an answer too: requests must not wait for slots that nobody
-    // will grant.
+    // Without an answer, empty grants are applied: otherwise requests would wait for
+    // slots that no host will grant.
     dispatch.send({
       kind: "overflow_granted",
       failureDomain,
@@ -98,15 +102,18 @@
     return answer.unwrapOr(undefined);
   }
 
-  /** Finds a host of a failure domain; relays know some of each. */
+  /**
+   * Finds a host of a failure domain; if this host knows none, it asks a relay, which
+   * knows some hosts of every failure domain.
+   */
   async #findContact(
     failureDomain: string,
   ): Promise<peer.Contact | undefined> {
     const { overlay, clients, host } = this.#options;
-    const find = () =>
+    const findKnown = () =>
       overlay.listRemoteContacts()
         .find((contact) => contact.failureDomain === failureDomain);
-    const known = find();
+    const known = findKnown();
     const relay = overlay.listRelays().find((member) => member.name !== host);
     if (known !== undefined || relay === undefined) return known;
     const answer = await clients.call(
@@ -114,6 +121,6 @@
       (client, signal) => client.remoteContacts.query(undefined, { signal }),
     );
     overlay.setContacts(answer.unwrapOr([]));
-    return find();
+    return findKnown();
   }
 }
--- a/packages/banyangrade/recent_refusals.ts
+++ b/packages/banyangrade/recent_refusals.ts
@@ -1,11 +1,11 @@
-/** Refusals of late, so that an operator can ask why a request was refused. */
+/** Keeps recent refusals, so that operators can look up why a request was refused. */
 import * as lru from "lru-cache";
 import type * as core from "@banyangrade/core";
 
-/** Refusals remembered at one host. */
+/** Maximum number of refusals that a host keeps. */
 const MAX_REFUSALS = 2_000;
 
-/** Remembers the last refusals by request. */
+/** The most recent refusals by request identifier. */
 export class RecentRefusals {
   readonly #refusals = new lru.LRUCache<string, core.Refusal>({
     max: MAX_REFUSALS,
--- a/packages/banyangrade/call_front.ts
+++ b/packages/banyangrade/service_call_handler.ts
@@ -1,20 +1,20 @@
-/** Calls of plain services: those that may not be repeated run at most once. */
+/** Handles calls of plain services; calls that are not idempotent and carry an idempotency key run at most once. */
 import type * as undici from "undici";
 import * as caller from "@banyangrade/caller";
 import * as core from "@banyangrade/core";
 import type * as peer from "@banyangrade/peer";
 import * as utils from "@banyangrade/utils";
-import * as acceptedModule from "./accepted.ts";
+import * as authenticatedRequest from "./authenticated_request.ts";
 import * as callExchange from "./call_exchange.ts";
 import type * as exchange from "./exchange.ts";
 import * as operationModule from "./operation.ts";
 import type * as guard from "./operation_guard.ts";
 
-/** Longest idempotency key, in characters. */
-const MAX_IDEMPOTENCY_KEY = 255;
+/** Maximum length of an idempotency key, in characters. */
+const MAX_KEY_LENGTH = 255;
 
-/** Options of {@link CallFront}. */
-export interface CallFrontOptions extends exchange.ExchangeContext {
+/** Options of {@link ServiceCallHandler}. */
+export interface ServiceCallHandlerOptions extends exchange.ExchangeContext {
   readonly agent: undici.Agent;
   readonly getConfiguration: () => core.Configuration;
   readonly isWithdrawn: (keyId: string) => boolean;
@@ -22,24 +22,25 @@
   readonly ticketGuard: guard.TicketGuard;
 }
 
-/** Turns callers' calls into work. */
-export class CallFront {
-  readonly #options: CallFrontOptions;
+/** Handles callers' calls of plain services. */
+export class ServiceCallHandler {
+  readonly #options: ServiceCallHandlerOptions;
 
-  constructor(options: CallFrontOptions) {
+  constructor(options: ServiceCallHandlerOptions) {
     this.#options = options;
   }
 
-  /** Runs an operation that another host forwarded with this host's ticket. */
+  /** Runs an operation that another host forwarded because this host issued its ticket. */
   async runTicket(message: peer.TicketMessage): Promise<peer.TicketAnswer> {
     const configuration = this.#options.getConfiguration();
     const part = configuration.classes.get(message.className);
-    const known = part !== undefined && configuration.keys.has(message.keyId) &&
+    const authorized = part !== undefined &&
+      configuration.keys.has(message.keyId) &&
       !this.#options.isWithdrawn(message.keyId);
-    if (!known) {
+    if (!authorized) {
       return operationModule.toTicketAnswer({
         kind: "refused",
-        // An earlier sending of the ticket may have run.
+        // An earlier request with the same ticket may have run.
         refusal: core.buildRefusal({ code: "key_withdrawn", ran: "unknown" }),
       });
     }
@@ -59,18 +60,18 @@
     return operationModule.toTicketAnswer(outcome);
   }
 
-  /** Handles one call of a caller. */
+  /** Runs one call and answers its caller. */
   async call(
-    accepted: acceptedModule.Accepted,
+    accepted: authenticatedRequest.AuthenticatedRequest,
     route: Extract<caller.Route, { kind: "call" }>,
   ): Promise<void> {
     const { incoming } = accepted;
-    const denied = acceptedModule.checkTarget(accepted, route.service) ??
+    const refusal = authenticatedRequest.checkTarget(accepted, route.service) ??
       checkIdempotencyKey(incoming);
-    if (denied !== undefined) {
-      return acceptedModule.refuseUnclaimed(this.#options, {
+    if (refusal !== undefined) {
+      return authenticatedRequest.refuseBeforeClaim(this.#options, {
         head: incoming,
-        refusal: denied,
+        refusal,
       });
     }
     const outcome = await this.#runGuarded(accepted, route);
@@ -78,7 +79,7 @@
   }
 
   #sendOutcome(
-    { incoming }: acceptedModule.Accepted,
+    { incoming }: authenticatedRequest.AuthenticatedRequest,
     outcome: guard.GuardOutcome | peer.TicketAnswer,
   ): void {
     if (!("kind" in outcome)) {
@@ -98,7 +99,7 @@
           body: outcome.answer.body,
         });
       case "refused":
-        return acceptedModule.refuseHead(this.#options, {
+        return authenticatedRequest.refuseRequest(this.#options, {
           head: incoming,
           refusal: outcome.refusal,
         });
@@ -108,7 +109,7 @@
   }
 
   async #runGuarded(
-    accepted: acceptedModule.Accepted,
+    accepted: authenticatedRequest.AuthenticatedRequest,
     route: Extract<caller.Route, { kind: "call" }>,
   ): Promise<guard.GuardOutcome | peer.TicketAnswer> {
     const { incoming, secret, grant, part } = accepted;
@@ -132,12 +133,12 @@
         body,
         requestId,
         part,
-        onLeft: (callback) => incoming.answer.watchLeft(callback),
+        onDisconnect: (callback) => incoming.answer.watchLeft(callback),
       });
     const idempotencyKey = getIdempotencyKey(incoming);
     const repeatable = this.#isRepeatable(route.service, incoming.method);
     if (repeatable || idempotencyKey === undefined) return await run();
-    const guarded = {
+    const guardedOperation = {
       customer: operation.customer,
       idempotencyKey,
       fingerprint: operationModule.computeFingerprint(operation, body),
@@ -145,10 +146,10 @@
     };
     const origin = core.parseTicket(idempotencyKey);
     if (origin === undefined) {
-      return await this.#options.storeGuard.run(guarded);
+      return await this.#options.storeGuard.run(guardedOperation);
     }
     if (this.#options.ticketGuard.isOwn(origin)) {
-      return await this.#options.ticketGuard.run(guarded);
+      return await this.#options.ticketGuard.run(guardedOperation);
     }
     const forwarded = await this.#options.ticketGuard.forward(origin, {
       ...operation,
@@ -171,17 +172,17 @@
       readonly path: string;
       readonly headers: Readonly<Record<string, string | string[]>>;
       readonly body: Buffer;
-      readonly onLeft?: (callback: () => void) => void;
+      readonly onDisconnect?: (callback: () => void) => void;
     },
   ): Promise<callExchange.CallOutcome> {
     const customer = this.#options.getConfiguration().customers.get(
       operation.customer,
     );
     if (customer === undefined) {
-      const refusal = acceptedModule.buildKeyRefusal("not_authenticated");
+      const refusal = authenticatedRequest.buildKeyRefusal("not_authenticated");
       return Promise.resolve({ kind: "refused", refusal });
     }
-    const request = acceptedModule.buildRequest({
+    const request = authenticatedRequest.buildRequest({
       ...operation,
       customer,
       fingerprint: operationModule.computeFingerprint(
@@ -222,11 +223,12 @@
 ): core.Refusal | undefined {
   const key = getIdempotencyKey(incoming);
   if (key === undefined) return undefined;
-  if (key.length > 0 && key.length <= MAX_IDEMPOTENCY_KEY) return undefined;
+  if (key.length > 0 && key.length <= MAX_KEY_LENGTH) return undefined;
   return core.buildRefusal({
     code: "bad_request",
     ran: "no",
     step: "caller.parse",
-    message: `An Idempotency-Key has 1 to ${MAX_IDEMPOTENCY_KEY} characters.`,
+    message:
+      `The Idempotency-Key header must have 1 to ${MAX_KEY_LENGTH} characters.`,
   });
 }
--- a/packages/banyangrade/ticket_fuzz_test.ts
+++ b/packages/banyangrade/ticket_fuzz_test.ts
@@ -1,4 +1,8 @@
-/** Fuzzing of tickets: an operation runs at most once, and "not run" is true. */
+/**
+ * Fuzz test of operations with tickets: an operation runs at most once, and a refusal does
+ * not claim that it did not run although it did. Callers retry at several hosts while calls
+ * between hosts are delayed or lost and hosts crash.
+ */
 import * as fc from "fast-check";
 import * as tap from "tap";
 import * as core from "@banyangrade/core";
@@ -13,7 +17,7 @@
 const SEED = Number(process.env.FUZZ_SEED ?? 20_261_203);
 const HOSTS = 3;
 
-type BackendFate = "whole" | "lost" | "not_run";
+type BackendResult = "whole" | "lost" | "not_run";
 
 type Step =
   | { readonly kind: "issue"; readonly host: number }
@@ -21,7 +25,7 @@
     readonly kind: "send";
     readonly host: number;
     readonly ticket: number;
-    /** Another body under the same ticket. */
+    /** Whether the request has another body than others with its ticket. */
     readonly other: boolean;
   }
   | { readonly kind: "deliver"; readonly pick: number }
@@ -29,7 +33,7 @@
   | {
     readonly kind: "backend";
     readonly pick: number;
-    readonly fate: BackendFate;
+    readonly result: BackendResult;
   }
   | { readonly kind: "crash"; readonly host: number };
 
@@ -56,29 +60,29 @@
     arbitrary: fc.record({
       kind: fc.constant("backend" as const),
       pick,
-      fate: fc.constantFrom<BackendFate>("whole", "lost", "not_run"),
+      result: fc.constantFrom<BackendResult>("whole", "lost", "not_run"),
     }),
   },
   fc.record({ kind: fc.constant("crash" as const), host }),
 );
 
-/** A message or an answer between two hosts. */
-interface Flight {
+/** A request or response in transit between two hosts. */
+interface PendingMessage {
   readonly deliver: () => void;
   readonly lose: () => void;
 }
 
-interface AtBackend {
+interface RunningOperation {
   readonly id: string;
   readonly end: (outcome: call.CallOutcome) => void;
 }
 
 class Harness {
   readonly tickets: string[] = [];
-  readonly flights: Flight[] = [];
-  readonly backend: AtBackend[] = [];
+  readonly pendingMessages: PendingMessage[] = [];
+  readonly runningOperations: RunningOperation[] = [];
   readonly ran = new Map<string, number>();
-  /** The first promise that was broken. */
+  /** Description of a violated invariant; undefined if there is none. */
   failure: string | undefined;
   readonly #incarnations = [0, 0, 0];
   readonly #guards = [0, 1, 2].map((at) => this.#create(at));
@@ -91,7 +95,7 @@
     });
   }
 
-  /** A call that arrives, or not, and whose answer does, or not. */
+  /** Calls another host; the request and the response may each be lost. */
   async #callHost<Answer>(
     to: { readonly address: string; readonly step: string },
     run: (
@@ -102,12 +106,12 @@
     const at = Number(to.address.slice(1));
     const ticket = {
       mutate: async (message: peer.TicketMessage) => {
-        await this.#waitForFlight();
+        await this.#waitForDelivery();
         const answer = await this.#runAt(at, {
           ticket: message.ticket,
           body: message.body,
         });
-        await this.#waitForFlight();
+        await this.#waitForDelivery();
         return operation.toTicketAnswer(answer);
       },
     };
@@ -121,9 +125,9 @@
     }
   }
 
-  #waitForFlight(): Promise<void> {
+  #waitForDelivery(): Promise<void> {
     return new Promise((resolve, reject) =>
-      this.flights.push({
+      this.pendingMessages.push({
         deliver: resolve,
         lose: () => reject(new Error("Lost.")),
       })
@@ -131,8 +135,8 @@
   }
 
   /**
-   * What the issuer says is checked as it says it: while its "not run" is under
-   * way, a second sending of the caller may begin to run.
+   * Runs an operation at the issuer of its ticket and checks the outcome immediately:
+   * while a "not run" outcome is in transit, a retry of the caller may begin to run.
    */
   async #runAt(
     at: number,
@@ -144,21 +148,26 @@
       fingerprint: sent.body,
       run: () =>
         new Promise((end) =>
-          this.backend.push({ id: `${sent.ticket}/${sent.body}`, end })
+          this.runningOperations.push({
+            id: `${sent.ticket}/${sent.body}`,
+            end,
+          })
         ),
     });
-    const said = outcome.kind === "refused" ? outcome.refusal.ran : "answer";
-    this.#checkSaid(said, sent);
+    const reported = outcome.kind === "refused"
+      ? outcome.refusal.ran
+      : "answer";
+    this.#checkReported(reported, sent);
     return outcome;
   }
 
-  #checkSaid(
-    said: core.Ran | "answer",
+  #checkReported(
+    reported: core.Ran | "answer",
     { ticket, body }: { readonly ticket: string; readonly body: string },
   ): void {
     const count = this.ran.get(`${ticket}/${body}`) ?? 0;
-    if (said === "no" && count > 0) this.failure = `"not run" that ran`;
-    if (said === "answer" && count !== 1) this.failure = "answer without a run";
+    if (reported === "no" && count > 0) this.failure = `"not run", but it ran`;
+    if (reported === "answer" && count !== 1) this.failure = "answered, no run";
   }
 
   async run(next: Step): Promise<void> {
@@ -167,17 +176,17 @@
         this.tickets.push(this.#guards[next.host].issue("c"));
         break;
       case "send":
-        // What a caller reads is checked whenever it arrives.
+        // Not awaited: the response is checked when it arrives, in a later step.
         void this.#send(next);
         break;
       case "deliver":
-        this.#takeFlight(next.pick)?.deliver();
+        this.#takePendingMessage(next.pick)?.deliver();
         break;
       case "lose":
-        this.#takeFlight(next.pick)?.lose();
+        this.#takePendingMessage(next.pick)?.lose();
         break;
       case "backend":
-        this.#endAtBackend(next);
+        this.#endBackendRun(next);
         break;
       case "crash":
         this.#incarnations[next.host] += 1;
@@ -197,28 +206,31 @@
       await this.#runAt(next.host, { ticket, body });
       return;
     }
-    const said = await own.forward(origin, buildMessage(ticket, body));
-    if ("ran" in said) this.#checkSaid(said.ran, { ticket, body });
+    const reported = await own.forward(origin, buildMessage(ticket, body));
+    if ("ran" in reported) this.#checkReported(reported.ran, { ticket, body });
   }
 
-  #takeFlight(at: number): Flight | undefined {
-    return this.flights.splice(at % Math.max(1, this.flights.length), 1)[0];
+  #takePendingMessage(at: number): PendingMessage | undefined {
+    return this.pendingMessages.splice(
+      at % Math.max(1, this.pendingMessages.length),
+      1,
+    )[0];
   }
 
-  #endAtBackend(next: Extract<Step, { kind: "backend" }>): void {
-    const [one] = this.backend.splice(
-      next.pick % Math.max(1, this.backend.length),
+  #endBackendRun(next: Extract<Step, { kind: "backend" }>): void {
+    const [ended] = this.runningOperations.splice(
+      next.pick % Math.max(1, this.runningOperations.length),
       1,
     );
-    if (one === undefined) return;
-    if (next.fate !== "not_run") {
-      this.ran.set(one.id, (this.ran.get(one.id) ?? 0) + 1);
-      const ticket = one.id.split("/")[0];
+    if (ended === undefined) return;
+    if (next.result !== "not_run") {
+      this.ran.set(ended.id, (this.ran.get(ended.id) ?? 0) + 1);
+      const ticket = ended.id.split("/")[0];
       const total = [...this.ran].filter(([id]) => id.startsWith(ticket))
         .reduce((sum, [, count]) => sum + count, 0);
-      if (total > 1) this.failure = "a ticket ran twice";
+      if (total > 1) this.failure = "the operation of a ticket ran twice";
     }
-    one.end(buildOutcome(next.fate));
+    ended.end(buildOutcome(next.result));
   }
 }
 
@@ -236,12 +248,12 @@
   };
 }
 
-function buildOutcome(fate: BackendFate): call.CallOutcome {
-  if (fate === "whole") {
+function buildOutcome(result: BackendResult): call.CallOutcome {
+  if (result === "whole") {
     const answer = { status: 200, headers: {}, body: Buffer.from("done") };
     return { kind: "whole", answer };
   }
-  const ran = fate === "lost" ? "unknown" : "no";
+  const ran = result === "lost" ? "unknown" : "no";
   const refusal = core.buildRefusal({ code: "backend_failed", ran });
   return { kind: "refused", refusal };
 }
--- a/packages/banyangrade/usage_task.ts
+++ b/packages/banyangrade/usage_task.ts
@@ -1,6 +1,6 @@
 /**
- * Usage of this host: batches go to the host that reports for the failure
- * domain and to one replica, and are kept until a fixed window counts them.
+ * Records this host's usage and sends it in batches to the host that reports for the
+ * failure domain and to one replica. Batches are kept until a fixed window counts them.
  */
 import * as core from "@banyangrade/core";
 import type * as peer from "@banyangrade/peer";
@@ -19,18 +19,18 @@
   readonly overlay: peer.Overlay;
   readonly holder: store.LeaseHolder;
   readonly failureDomain: string;
-  /** Host and incarnation. */
+  /** Identifies the sender of batches: host and incarnation. */
   readonly source: string;
   readonly windowMs: number;
   readonly graceMs: number;
 }
 
-/** Records, flushes and, while this host holds the role, reports usage. */
+/** Records and flushes usage, and reports it while this host holds the role. */
 export class UsageTask {
   readonly #options: UsageTaskOptions;
   readonly #ledger: core.UsageLedger;
   readonly #collector = new core.UsageCollector();
-  readonly #sent = new Map<string, number>();
+  readonly #sentSequences = new Map<string, number>();
   #stops: (() => void)[] = [];
 
   constructor(options: UsageTaskOptions) {
@@ -55,13 +55,13 @@
     this.#ledger.record(window, entry);
   }
 
-  /** Takes batches of another host, as the reporter or as a replica. */
-  take(message: peer.UsageMessage): peer.UsageAnswer {
+  /** Adds batches of another host, as the reporter or as a replica. */
+  takeBatches(message: peer.UsageMessage): peer.UsageAnswer {
     this.#collector.add(message.batches);
     return { counted: this.#collector.getCounted() };
   }
 
-  /** Sends what is not yet sent to the reporter and to the replica. */
+  /** Sends the batches that the reporter and the replica have not received. */
   async flush(): Promise<void> {
     const own = this.#ledger.listBatches();
     this.#collector.add(own);
@@ -73,39 +73,42 @@
     ]);
   }
 
-  /** Stops; hands over what this host holds, to whoever reports next. */
+  /**
+   * Stops the task. Batches that are not yet in a fixed window are sent to the reporter
+   * and other hosts, so that the next reporter can count them.
+   */
   async stop(): Promise<void> {
     this.#stops.forEach((stop) => stop());
     await this.flush();
     if (this.isSettled()) return;
     const own = this.#options.overlay.members.getSelf().address;
     const batches = this.#collector.list();
-    const next = [this.#getReporter(), ...this.#listOthers()]
+    const next = [this.#getReporter(), ...this.#listPeerAddresses()]
       .filter((address) => address !== undefined && address !== own);
     await Promise.all(
       next.slice(0, 2).map((address) =>
-        this.#sendTo(`${address}`, batches, { again: true })
+        this.#sendTo(`${address}`, batches, { resend: true })
       ),
     );
   }
 
-  /** Whether all usage of this host is in a fixed window. */
+  /** Whether all usage of this host is counted in fixed windows. */
   isSettled(): boolean {
     return this.#ledger.isSettled();
   }
 
-  #listOthers(): string[] {
+  #listPeerAddresses(): string[] {
     return this.#options.overlay.members.listHeartbeatTargets()
       .map((member) => member.address);
   }
 
   #getReporter(): string | undefined {
     const role = `usage/${this.#options.failureDomain}`;
-    const news = this.#options.overlay.getRole(role);
-    return news?.address;
+    const roleHolder = this.#options.overlay.getRole(role);
+    return roleHolder?.address;
   }
 
-  /** Batches held as a replica for hosts that are gone. */
+  /** Lists the batches that this host holds as a replica for hosts that are no longer active. */
   #listOrphans(): core.UsageBatch[] {
     const active = new Set(
       this.#options.overlay.members.listActive().map((member) => member.name),
@@ -118,28 +121,30 @@
   async #sendTo(
     address: string,
     batches: readonly core.UsageBatch[],
-    { again = false }: { readonly again?: boolean } = {},
+    { resend = false }: { readonly resend?: boolean } = {},
   ): Promise<void> {
     const role = this.#options.overlay.getRole(
       `usage/${this.#options.failureDomain}`,
     );
-    // A new holder starts with nothing: what the last one got is sent again.
+    // A new holder of the role has no batches, so those that the former holder received
+    // are sent again; the fencing token tells the holders apart.
     const channel = `${address}#${role?.token ?? 0}`;
     const isSent = (batch: core.UsageBatch) =>
-      (this.#sent.get(`${channel}#${batch.source}`) ?? 0) >= batch.sequence;
-    const unsent = batches.filter((batch) => again || !isSent(batch));
+      (this.#sentSequences.get(`${channel}#${batch.source}`) ?? 0) >=
+        batch.sequence;
+    const unsent = batches.filter((batch) => resend || !isSent(batch));
     const answer = await this.#options.clients.call(
       { address, step: "peer.usage" },
       (client, signal) => client.usage.mutate({ batches: unsent }, { signal }),
     );
     if (answer.err) return;
     unsent.forEach((batch) =>
-      this.#sent.set(`${channel}#${batch.source}`, batch.sequence)
+      this.#sentSequences.set(`${channel}#${batch.source}`, batch.sequence)
     );
-    if (address === this.#getReporter()) this.#settle(answer.val.counted);
+    if (address === this.#getReporter()) this.#acknowledge(answer.val.counted);
   }
 
-  #settle(counted: core.SequenceVector): void {
+  #acknowledge(counted: core.SequenceVector): void {
     this.#ledger.acknowledge(counted);
     this.#collector.setCounted(counted);
   }
@@ -153,15 +158,18 @@
       collector: this.#collector,
       lastClosed: Math.floor((clock.wall() - graceMs) / windowMs) - 1,
     });
-    this.#settle(this.#collector.getCounted());
+    this.#acknowledge(this.#collector.getCounted());
     if (round.fixed + round.reported > 0) {
       log.info(
         { fixed: round.fixed, reported: round.reported },
-        "Windows reported.",
+        "Usage windows reported.",
       );
     }
     if (round.error !== undefined) {
-      log.warn({ error: round.error }, "Window report put off.");
+      log.warn(
+        { error: round.error },
+        "Reporting usage windows failed; retrying in the next round.",
+      );
     }
   }
 }
--- a/scripts/mutations.ts
+++ b/scripts/mutations.ts
@@ -49,8 +49,8 @@
   {
     name: "tickets: a forgotten one has not run",
     file: "packages/banyangrade/operation_guard.ts",
-    find: `ran: "unknown",\n          message: "The ticket is forgotten."`,
-    replace: `ran: "no",\n          message: "The ticket is forgotten."`,
+    find: `ran: "unknown",\n          message: "Ticket unknown`,
+    replace: `ran: "no",\n          message: "Ticket unknown`,
     test: TICKETS,
   },
   {
