--- a/packages/banyangrade/certificates.ts
+++ b/packages/banyangrade/certificates.ts
@@ -1,21 +1,21 @@
-/** Certificates that are replaced without a restart: files are read again now and then. */
+/** Reads certificates again periodically, so that they can be replaced without a restart. */
 import type * as caller from "@banyangrade/caller";
 import type * as peer from "@banyangrade/peer";
 import * as utils from "@banyangrade/utils";
 import * as settingsModule from "./settings.ts";
 
-/** Between two readings of the files, in ms. */
-const READ_MS = 10_000;
+/** Interval at which the certificate files are read, in ms. */
+const POLL_MS = 10_000;
 
-/** Who takes over a new certificate. */
-export interface CertificateWatch {
+/** Options of {@link Certificates.watch}: callbacks for changed certificates. */
+export interface CertificateWatchOptions {
   readonly onCaller: (tls: caller.CallerTls) => void;
   readonly onPeer: (tls: peer.PeerTls) => void;
-  /** @default 10 s */
-  readonly readMs?: number;
+  /** Interval at which the files are read, in ms. @default 10 s */
+  readonly pollMs?: number;
 }
 
-/** The certificates that the settings name, as they stand in their files. */
+/** Holds the current certificates from the files that the settings name. */
 export class Certificates {
   readonly #settings: settingsModule.Settings;
   #caller: caller.CallerTls | undefined;
@@ -35,26 +35,30 @@
     return this.#peer;
   }
 
-  /** Reads the files again and again; returns a function that stops it. */
-  watch(options: CertificateWatch): () => void {
+  /** Reads the files periodically and reports changed certificates. Returns a function that stops it. */
+  watch(options: CertificateWatchOptions): () => void {
     return utils.startInterval(
-      options.readMs ?? READ_MS,
-      () => this.#readAgain(options),
+      options.pollMs ?? POLL_MS,
+      () => this.#readFiles(options),
     );
   }
 
-  /** Files that are just being written may not fit together; they are read again later. */
-  #readAgain(options: CertificateWatch): void {
+  /**
+   * Reads the files once. While the files are being replaced, a certificate may
+   * not match its key and the callback throws; the current certificate then
+   * stays in use until the next read.
+   */
+  #readFiles(options: CertificateWatchOptions): void {
     try {
-      const ofCaller = settingsModule.readCallerTls(this.#settings);
-      if (ofCaller !== undefined && !isSame(ofCaller, this.#caller)) {
-        options.onCaller(ofCaller);
-        this.#caller = ofCaller;
+      const callerTls = settingsModule.readCallerTls(this.#settings);
+      if (callerTls !== undefined && !isSame(callerTls, this.#caller)) {
+        options.onCaller(callerTls);
+        this.#caller = callerTls;
       }
-      const ofPeer = settingsModule.readPeerTls(this.#settings);
-      if (ofPeer !== undefined && !isSame(ofPeer, this.#peer)) {
-        options.onPeer(ofPeer);
-        this.#peer = ofPeer;
+      const peerTls = settingsModule.readPeerTls(this.#settings);
+      if (peerTls !== undefined && !isSame(peerTls, this.#peer)) {
+        options.onPeer(peerTls);
+        this.#peer = peerTls;
       }
     } catch {
       return;
--- a/packages/banyangrade/certificates_test.ts
+++ b/packages/banyangrade/certificates_test.ts
@@ -100,7 +100,7 @@
     t.teardown(files.watch({
       onCaller: server.setTls,
       onPeer: () => undefined,
-      readMs: 20,
+      pollMs: 20,
     }));
     t.equal(await readName(server.port), "before");
     write(after);
--- a/packages/banyangrade/command_line.ts
+++ b/packages/banyangrade/command_line.ts
@@ -1,23 +1,26 @@
-/** Commands, their options and their help. */
+/**
+ * The commands, their options and their help texts. A command's module is
+ * loaded only when the command runs.
+ */
 import * as util from "node:util";
 
-/** Exit codes, as documented on the operators' page. */
+/** Exit codes of the commands. */
 export const EXIT = {
   ok: 0,
-  /** The request was understood but could not be carried out. */
+  /** The command was valid but could not be carried out. */
   failed: 1,
-  /** The command line or a file is wrong. */
+  /** The command line, a settings file or a service file is invalid. */
   usage: 2,
-  /** Another operator published first. */
+  /** Another operator published a revision first; nothing was committed. */
   overtaken: 3,
-  /** Committed, but not in force everywhere. */
+  /** The change is committed, but is not in force at every host. */
   notInForce: 4,
 } as const;
 
-/** Parsed options of a command. */
+/** Parsed options of a command, by name. */
 export type Options = Readonly<Record<string, string | boolean | undefined>>;
 
-/** What a command gets. */
+/** Parsed arguments that a command is run with. */
 export interface CommandInput {
   readonly options: Options;
   readonly arguments: readonly string[];
@@ -33,8 +36,8 @@
   }>;
 }
 
-/** Options that reach the store and the hosts. */
-const REACH = {
+/** Options of the commands that connect to the store and the hosts. */
+const CONNECTION_OPTIONS = {
   operator: "string",
   store: "string",
   host: "string",
@@ -44,7 +47,7 @@
 
 const COMMANDS: Readonly<Record<string, Command>> = {
   serve: {
-    summary: "Run an entry host.",
+    summary: "Run a host.",
     usage: "serve --settings FILE",
     example: "banyangrade serve --settings host.toml",
     options: { settings: "string" },
@@ -58,11 +61,11 @@
     load: () => import("./commands/check.ts"),
   },
   publish: {
-    summary: "Put the service files below a folder into effect everywhere.",
+    summary: "Publish the service files below a folder to all hosts.",
     usage: "publish --services FOLDER [--dry-run] [--wait SECONDS]",
     example: "banyangrade publish --operator operator.toml --services services",
     options: {
-      ...REACH,
+      ...CONNECTION_OPTIONS,
       services: "string",
       "dry-run": "boolean",
       wait: "string",
@@ -74,65 +77,67 @@
     summary: "Show hosts, revisions in force, roles, classes and servers.",
     usage: "status [--json]",
     example: "banyangrade status --operator operator.toml",
-    options: REACH,
+    options: CONNECTION_OPTIONS,
     load: () => import("./commands/status.ts"),
   },
   key: {
-    summary: "Create, withdraw or list callers' keys.",
+    summary: "Create, withdraw or list the API keys of customers.",
     usage: "key create CUSTOMER CLASS... | key withdraw NAME | key list",
     example: "banyangrade key create studio-rosenheim lookup booking",
-    options: { ...REACH, author: "string" },
+    options: { ...CONNECTION_OPTIONS, author: "string" },
     load: () => import("./commands/key.ts"),
   },
   customer: {
-    summary: "List customers, what they may use and how many keys they have.",
+    summary: "List customers, their classes and targets, and their keys.",
     usage: "customer [--json]",
     example: "banyangrade customer --operator operator.toml",
-    options: REACH,
+    options: CONNECTION_OPTIONS,
     load: async () => ({ run: (await loadRecords()).runCustomers }),
   },
   usage: {
     summary: "List the usage windows that the store still holds.",
     usage: "usage [--json]",
     example: "banyangrade usage --operator operator.toml",
-    options: REACH,
+    options: CONNECTION_OPTIONS,
     load: async () => ({ run: (await loadRecords()).runUsage }),
   },
   orders: {
-    summary: "List what was ordered of each pool.",
+    summary: "List the number of servers that is ordered for each pool.",
     usage: "orders [--json]",
     example: "banyangrade orders --operator operator.toml",
-    options: REACH,
+    options: CONNECTION_OPTIONS,
     load: async () => ({ run: (await loadRecords()).runOrders }),
   },
   explain: {
-    summary: "Say why a request was refused, a class waits or a server idles.",
+    summary:
+      "Explain why a request was refused, a class waits or a server idles.",
     usage: "explain request ID [--log FILE] | explain class NAME | " +
       "explain server NAME",
     example: "banyangrade explain request 2f8579f066be2260 --log hosts.log",
-    options: { ...REACH, log: "string" },
+    options: { ...CONNECTION_OPTIONS, log: "string" },
     load: () => import("./commands/explain.ts"),
   },
   drain: {
-    summary: "Ask one host for a planned stop and wait for its end.",
+    summary: "Drain one host and wait until it has stopped.",
     usage: "drain --host ADDRESS",
     example: "banyangrade drain --host 127.0.0.1:7080 --operator operator.toml",
-    options: REACH,
+    options: CONNECTION_OPTIONS,
     load: () => import("./commands/drain.ts"),
   },
 };
 
-const REACH_HELP = `
-Reaching the platform and the hosts:
+const CONNECTION_HELP = `
+Connection to the store and the hosts:
   --operator FILE     operator settings (store_url, hosts, secret_file)
-  --store URL         key-value service, in place of the file's
-  --host ADDRESS      peer address of any host, in place of the file's
-  --secret-file FILE  shared secret of the hosts
+  --store URL         URL of the key-value service; overrides store_url
+  --host ADDRESS      peer address of a host; overrides hosts
+  --secret-file FILE  shared secret of the hosts; overrides secret_file
   --json              print JSON instead of a table
 `;
 
 /**
- * Runs a command and returns its exit code; undefined if it goes on running.
+ * Runs a command and returns its exit code, or undefined while the command
+ * keeps running.
  *
  * @example
  * const code = await runCommand(["check", "--settings", "host.toml"]);
@@ -148,14 +153,14 @@
   const command = COMMANDS[name];
   if (command === undefined) {
     process.stderr.write(
-      `There is no command "${name}". Run "banyangrade help" for a list.\n`,
+      `Unknown command "${name}". Run "banyangrade help" for the list of commands.\n`,
     );
     return EXIT.usage;
   }
-  return await runKnown(command, rest);
+  return await parseAndRun(command, rest);
 }
 
-async function runKnown(
+async function parseAndRun(
   command: Command,
   rest: readonly string[],
 ): Promise<number | undefined> {
@@ -199,9 +204,9 @@
 }
 
 function formatHelp(command: Command): string {
-  const reach = "operator" in command.options ? REACH_HELP : "";
+  const reach = "operator" in command.options ? CONNECTION_HELP : "";
   return `${command.summary}\n\nUsage:\n  banyangrade ${command.usage}\n\n` +
     `Example:\n  ${command.example}\n${reach}\n` +
-    `Exit codes: 0 done, 1 failed, 2 wrong use or file, ` +
-    `3 another operator was first, 4 not in force everywhere\n`;
+    `Exit codes: 0 done, 1 failed, 2 invalid arguments or file, ` +
+    `3 another operator published first, 4 not in force at every host\n`;
 }
--- a/packages/banyangrade/commands/check.ts
+++ b/packages/banyangrade/commands/check.ts
@@ -1,4 +1,4 @@
-/** `banyangrade check`: checks settings and service files offline. */
+/** `banyangrade check`: validates settings and service files without connecting to anything. */
 import * as operator from "@banyangrade/operator";
 import * as utils from "@banyangrade/utils";
 import * as commandLine from "../command_line.ts";
@@ -8,7 +8,9 @@
 export function run(input: commandLine.CommandInput): Promise<number> {
   const { settings, services, json } = input.options;
   if (settings === undefined && services === undefined) {
-    process.stderr.write("Give --settings FILE, --services FOLDER or both.\n");
+    process.stderr.write(
+      "Specify --settings FILE, --services FOLDER or both.\n",
+    );
     return Promise.resolve(commandLine.EXIT.usage);
   }
   const problems = [
--- a/packages/banyangrade/commands/drain.ts
+++ b/packages/banyangrade/commands/drain.ts
@@ -1,42 +1,48 @@
-/** `banyangrade drain`: asks one host for a planned stop and waits for its end. */
+/** `banyangrade drain`: drains one host and waits until it has stopped. */
 import * as utils from "@banyangrade/utils";
 import * as commandLine from "../command_line.ts";
 import * as reachModule from "../reach.ts";
 import * as publish from "./publish.ts";
 
-/** Longest wait for the host to stop, in ms. */
-const WAIT_MS = 300_000;
-/** Between two questions whether it still answers, in ms. */
-const ASK_MS = 300;
+/** Time limit for the host to stop, in ms. */
+const STOP_TIMEOUT_MS = 300_000;
+/** Interval at which the command checks whether the host still responds, in ms. */
+const POLL_MS = 300;
 
 /** Runs the command. */
 export async function run(input: commandLine.CommandInput): Promise<number> {
   if (typeof input.options.host !== "string") {
-    process.stderr.write("Name the host to stop: --host ADDRESS.\n");
+    process.stderr.write(
+      "The option --host ADDRESS is missing: the peer address of the host to drain.\n",
+    );
     return commandLine.EXIT.usage;
   }
-  return await reachModule.useReach(input.options, drainHost);
+  return await reachModule.withConnection(input.options, drainHost);
 }
 
-async function drainHost(reach: reachModule.Reach): Promise<number> {
-  const asked = await reachModule.askAnyHost(
-    reach,
+async function drainHost(
+  connection: reachModule.OperatorConnection,
+): Promise<number> {
+  const accepted = await reachModule.callAnyHost(
+    connection,
     (client, signal) => client.drain.mutate(undefined, { signal }),
   );
-  if (asked.err) return publish.printError(asked.val);
+  if (accepted.err) return publish.printError(accepted.val);
   process.stdout.write("Draining; waiting until the host has stopped.\n");
-  const until = Date.now() + WAIT_MS;
-  while (Date.now() < until) {
-    await utils.waitFor(ASK_MS);
-    const alive = await reachModule.askAnyHost(
-      reach,
+  const deadline = Date.now() + STOP_TIMEOUT_MS;
+  while (Date.now() < deadline) {
+    await utils.waitFor(POLL_MS);
+    const response = await reachModule.callAnyHost(
+      connection,
       (client, signal) => client.revision.query(undefined, { signal }),
     );
-    if (alive.err) {
+    if (response.err) {
       process.stdout.write("The host has stopped.\n");
       return commandLine.EXIT.ok;
     }
   }
-  process.stderr.write("The host still runs; look at its log.\n");
+  process.stderr.write(
+    "The host did not stop within the time limit; see its log.\n",
+  );
   return commandLine.EXIT.failed;
 }
--- a/packages/banyangrade/commands/explain.ts
+++ b/packages/banyangrade/commands/explain.ts
@@ -1,4 +1,4 @@
-/** `banyangrade explain`: why a request was refused, a class waits or a server idles. */
+/** `banyangrade explain`: explains why a request was refused, a class waits or a server idles. */
 import * as fs from "node:fs";
 import type * as core from "@banyangrade/core";
 import * as commandLine from "../command_line.ts";
@@ -10,11 +10,11 @@
 /** Runs the command. */
 export async function run(input: commandLine.CommandInput): Promise<number> {
   const [subject, name] = input.arguments;
-  const known = subject === "request" || subject === "class" ||
+  const isKnownSubject = subject === "request" || subject === "class" ||
     subject === "server";
-  if (!known || name === undefined) {
+  if (!isKnownSubject || name === undefined) {
     process.stderr.write(
-      "Write: explain request ID, explain class NAME or explain server NAME.\n",
+      "Usage: explain request ID, explain class NAME or explain server NAME.\n",
     );
     return commandLine.EXIT.usage;
   }
@@ -22,54 +22,56 @@
   if (subject === "request" && typeof log === "string") {
     return explainFromLog(log, name);
   }
-  return await reachModule.useReach(input.options, async (reach) => {
-    if (subject === "request") return await explainRequest(reach, name);
-    const status = await reachModule.askAnyHost(
-      reach,
+  return await reachModule.withConnection(input.options, async (connection) => {
+    if (subject === "request") return await explainRequest(connection, name);
+    const response = await reachModule.callAnyHost(
+      connection,
       (client, signal) => client.status.query(undefined, { signal }),
     );
-    if (status.err) return publish.printError(status.val);
-    const seen = status.val as statusModule.HostStatus;
+    if (response.err) return publish.printError(response.val);
+    const status = response.val as statusModule.HostStatus;
     const lines = subject === "class"
-      ? explainClass(seen, name)
-      : explainServer(seen, name);
+      ? explainClass(status, name)
+      : explainServer(status, name);
     process.stdout.write(`${lines.join("\n")}\n`);
     return commandLine.EXIT.ok;
   });
 }
 
-/** Tells the story from log lines; needs no host. */
+/** Prints the trace of a request from a log file, without asking a host. */
 function explainFromLog(file: string, requestId: string): number {
   const lines = requestTrace.formatRequestTrace(
     fs.readFileSync(file, "utf8"),
     requestId,
   );
   if (lines.length === 0) {
-    process.stderr.write(`No line in ${file} names ${requestId}.\n`);
+    process.stderr.write(
+      `No log line in ${file} contains the request ID ${requestId}.\n`,
+    );
     return commandLine.EXIT.failed;
   }
   process.stdout.write(`${lines.join("\n")}\n`);
   return commandLine.EXIT.ok;
 }
 
-/** Asks every host that is named, since only one of them refused it. */
+/** Asks each configured host in turn, because only the host that refused a request keeps the refusal. */
 async function explainRequest(
-  reach: reachModule.Reach,
+  connection: reachModule.OperatorConnection,
   requestId: string,
 ): Promise<number> {
-  for (const address of reach.hosts) {
-    const answer = await reachModule.askAnyHost(
-      { ...reach, hosts: [address] },
+  for (const address of connection.hosts) {
+    const response = await reachModule.callAnyHost(
+      { ...connection, hosts: [address] },
       (client, signal) => client.refusal.query(requestId, { signal }),
     );
-    if (answer.ok && answer.val !== null) {
-      process.stdout.write(`${describeRefusal(answer.val)}\n`);
+    if (response.ok && response.val !== null) {
+      process.stdout.write(`${describeRefusal(response.val)}\n`);
       return commandLine.EXIT.ok;
     }
   }
   process.stdout.write(
-    "No host that was asked refused it of late: it was answered, runs, or " +
-      "went to another host.\n",
+    "No configured host has a recent refusal of this request: it was " +
+      "answered, still runs, or went to another host.\n",
   );
   return commandLine.EXIT.failed;
 }
@@ -79,39 +81,44 @@
     `Ran: ${refusal.ran}. Peer: ${refusal.peer}.`;
 }
 
-function explainClass(seen: statusModule.HostStatus, name: string): string[] {
-  const lanes = seen.lanes.filter((lane) => lane.lane.startsWith(`${name}|`));
-  const held = seen.pools.filter((pool) =>
+function explainClass(status: statusModule.HostStatus, name: string): string[] {
+  const lanes = status.lanes.filter((lane) => lane.lane.startsWith(`${name}|`));
+  const limitedPools = status.pools.filter((pool) =>
     pool.limits.some((limit) => limit.startsWith(`${name} `))
   );
   return [
-    `Seen from ${seen.host}:`,
-    ...lanes.map((lane) => `${lane.waiting} wait in ${lane.lane}.`),
-    ...held.map((pool) =>
-      `Held back in ${pool.name}, whose ${pool.slots} slots are short: ` +
+    `Seen from ${status.host}:`,
+    ...lanes.map((lane) =>
+      `${lane.waiting} requests are queued in ${lane.lane}.`
+    ),
+    ...limitedPools.map((pool) =>
+      `Held back in ${pool.name}, which has too few slots (${pool.slots}): ` +
       `${pool.limits.join(", ")}.`
     ),
-    ...(lanes.length + held.length === 0
-      ? ["Nothing of this class waits or is held back."]
+    ...(lanes.length + limitedPools.length === 0
+      ? ["Nothing of this class is queued or held back."]
       : []),
   ];
 }
 
-function explainServer(seen: statusModule.HostStatus, name: string): string[] {
-  const server = seen.servers.find((one) => one.name === name);
+function explainServer(
+  status: statusModule.HostStatus,
+  name: string,
+): string[] {
+  const server = status.servers.find((one) => one.name === name);
   if (server === undefined) {
     return [
-      `${seen.host} does not know it: the fleet's list lacks it, or its pool ` +
-      "is not published.",
+      `${status.host} does not know this server: it is missing from the ` +
+      "fleet's server list, or its pool is not published.",
     ];
   }
   return [
-    `${server.name} in ${server.pool} runs ${server.running} for ${seen.host}.`,
+    `${server.name} in ${server.pool} runs ${server.running} requests of ${status.host}.`,
     ...(server.state === "leaving"
-      ? ["It is leaving and gets nothing new."]
+      ? ["It is leaving and gets no new requests."]
       : []),
     ...(server.ejected
-      ? ["It failed several times in a row and is left alone for a while."]
+      ? ["It is ejected for a while because it failed several times in a row."]
       : []),
   ];
 }
--- a/packages/banyangrade/commands/key.ts
+++ b/packages/banyangrade/commands/key.ts
@@ -1,4 +1,4 @@
-/** `banyangrade key`: creates, withdraws and lists callers' keys. */
+/** `banyangrade key`: creates, withdraws and lists the API keys of customers. */
 import * as core from "@banyangrade/core";
 import * as operator from "@banyangrade/operator";
 import * as store from "@banyangrade/store";
@@ -8,37 +8,39 @@
 import * as table from "../table.ts";
 import * as publish from "./publish.ts";
 
-/** Time to wait for a withdrawal to be in force everywhere, in seconds. */
-const WAIT_SECONDS = 10;
+/** Time limit for a new or withdrawn key to be in force at every host, in seconds. */
+const IN_FORCE_TIMEOUT_SECONDS = 10;
 
 /** Runs the command. */
 export async function run(input: commandLine.CommandInput): Promise<number> {
-  return await reachModule.useReach(
+  return await reachModule.withConnection(
     input.options,
-    (reach) => runAction(reach, input),
+    (connection) => runAction(connection, input),
   );
 }
 
 async function runAction(
-  reach: reachModule.Reach,
+  connection: reachModule.OperatorConnection,
   input: commandLine.CommandInput,
 ): Promise<number> {
   const [action, name, ...classes] = input.arguments;
   switch (action) {
     case "create":
-      return await createKey(reach, { input, customer: name, classes });
+      return await createKey(connection, { input, customer: name, classes });
     case "withdraw":
-      return await withdrawKey(reach, { input, name });
+      return await withdrawKey(connection, { input, name });
     case "list":
-      return await listKeys(reach, input);
+      return await listKeys(connection, input);
     default:
-      process.stderr.write("Write: key create, key withdraw or key list.\n");
+      process.stderr.write(
+        "Usage: key create CUSTOMER CLASS..., key withdraw NAME or key list.\n",
+      );
       return commandLine.EXIT.usage;
   }
 }
 
 async function createKey(
-  reach: reachModule.Reach,
+  connection: reachModule.OperatorConnection,
   options: {
     readonly input: commandLine.CommandInput;
     readonly customer: string;
@@ -46,19 +48,21 @@
   },
 ): Promise<number> {
   const read = await store.readConfiguration(
-    reach.store,
+    connection.store,
     core.EMPTY_CONFIGURATION,
   );
   if (read.err) return publish.printError(read.val);
   const customer = read.val.configuration.customers.get(options.customer);
-  const wrong = options.classes.filter((name) =>
+  const deniedClasses = options.classes.filter((name) =>
     !customer?.classes.includes(name)
   );
-  if (customer === undefined || wrong.length > 0) {
+  if (customer === undefined || deniedClasses.length > 0) {
     process.stderr.write(
       customer === undefined
         ? `There is no customer "${options.customer}".\n`
-        : `The customer may not use: ${wrong.join(", ")}.\n`,
+        : `The customer may not use these classes: ${
+          deniedClasses.join(", ")
+        }.\n`,
     );
     return commandLine.EXIT.usage;
   }
@@ -66,7 +70,7 @@
     ? options.classes
     : customer.classes;
   const { secret, part } = core.createKey(customer.name, granted);
-  const committed = await operator.commitAgain(reach.store, {
+  const committed = await operator.commitAgain(connection.store, {
     difference: { puts: [part], removes: [] },
     author: publish.getAuthor(options.input.options),
   });
@@ -76,56 +80,57 @@
     : `Key ${part.name} (shown once):\n${secret}`;
   process.stdout.write(`${shown}\n`);
   const revision = committed.val.revision;
-  const behind = await reachModule.waitInForce(reach, {
+  const outdated = await reachModule.waitUntilInForce(connection, {
     revision,
-    seconds: WAIT_SECONDS,
+    seconds: IN_FORCE_TIMEOUT_SECONDS,
   });
-  return behind.ok && behind.val.length === 0
+  return outdated.ok && outdated.val.length === 0
     ? commandLine.EXIT.ok
     : commandLine.EXIT.notInForce;
 }
 
 /**
- * Withdraws a key. The hosts are told first: they pass it on among themselves,
- * so it works while the store is down, and the change in the store makes it last.
+ * Withdraws a key. The command tells a host first, because the hosts forward
+ * the withdrawal to each other even while the store is down. The change in the
+ * store makes the withdrawal permanent.
  */
 async function withdrawKey(
-  reach: reachModule.Reach,
+  connection: reachModule.OperatorConnection,
   { input, name }: {
     readonly input: commandLine.CommandInput;
     readonly name: string;
   },
 ): Promise<number> {
-  const told = await reachModule.askAnyHost(
-    reach,
+  const notified = await reachModule.callAnyHost(
+    connection,
     (client, signal) => client.withdrawKey.mutate(name, { signal }),
   );
-  const committed = await operator.commitAgain(reach.store, {
+  const committed = await operator.commitAgain(connection.store, {
     difference: { puts: [], removes: [`key/${name}`] },
     author: publish.getAuthor(input.options),
   });
   if (committed.err) {
     process.stderr.write(
-      told.ok
-        ? "The hosts that can be reached refuse the key now, but the store " +
-          "does not hold the withdrawal yet: run this again.\n"
-        : "Neither a host nor the store could be told: run this again.\n",
+      notified.ok
+        ? "The hosts that can be reached refuse the key now, but the " +
+          "withdrawal is not in the store yet: run this again.\n"
+        : "Neither a host nor the store accepted the withdrawal: run this again.\n",
     );
     return publish.printError(committed.val);
   }
   process.stdout.write(`Key ${name} is withdrawn.\n`);
-  return await publish.confirmInForce(reach, {
+  return await publish.confirmInForce(connection, {
     revision: committed.val.revision,
-    seconds: WAIT_SECONDS,
+    seconds: IN_FORCE_TIMEOUT_SECONDS,
   });
 }
 
 async function listKeys(
-  reach: reachModule.Reach,
+  connection: reachModule.OperatorConnection,
   input: commandLine.CommandInput,
 ): Promise<number> {
   const read: utils.Result<store.ReadConfiguration, utils.StepError> =
-    await store.readConfiguration(reach.store, core.EMPTY_CONFIGURATION);
+    await store.readConfiguration(connection.store, core.EMPTY_CONFIGURATION);
   if (read.err) return publish.printError(read.val);
   const keys = [...read.val.configuration.keys.values()]
     .map(({ name, customer, classes }) => ({ name, customer, classes }));
--- a/packages/banyangrade/commands/publish.ts
+++ b/packages/banyangrade/commands/publish.ts
@@ -1,4 +1,4 @@
-/** `banyangrade publish`: from service files to a revision in force everywhere. */
+/** `banyangrade publish`: commits the service files as a revision and waits until it is in force at every host. */
 import * as os from "node:os";
 import * as core from "@banyangrade/core";
 import * as operator from "@banyangrade/operator";
@@ -7,7 +7,7 @@
 import * as commandLine from "../command_line.ts";
 import * as reachModule from "../reach.ts";
 
-/** Time to wait for the revision to be in force everywhere, in seconds. */
+/** Default time limit for the revision to be in force at every host, in seconds. */
 const DEFAULT_WAIT_SECONDS = 10;
 
 /** Runs the command. */
@@ -25,23 +25,23 @@
     return commandLine.EXIT.usage;
   }
   const parts = collected.val;
-  return await reachModule.useReach(
+  return await reachModule.withConnection(
     input.options,
-    (reach) => publish(reach, { input, parts }),
+    (connection) => publish(connection, { input, parts }),
   );
 }
 
 async function publish(
-  reach: reachModule.Reach,
+  connection: reachModule.OperatorConnection,
   { input, parts }: {
     readonly input: commandLine.CommandInput;
     readonly parts: readonly core.ConfigPart[];
   },
 ): Promise<number> {
   if (input.options["dry-run"] === true) {
-    return await showDifference(reach, parts);
+    return await showDifference(connection, parts);
   }
-  const published = await operator.publishParts(reach.store, {
+  const published = await operator.publishParts(connection.store, {
     parts,
     author: getAuthor(input.options),
   });
@@ -49,19 +49,19 @@
   switch (published.val.kind) {
     case "unchanged":
       process.stdout.write(
-        `Nothing to publish; revision ${published.val.revision} holds it all.\n`,
+        `Nothing to publish: revision ${published.val.revision} has the same content.\n`,
       );
       return commandLine.EXIT.ok;
     case "overtaken":
       process.stderr.write(
         `${published.val.by.author} published revision ` +
-          `${published.val.by.revision} first. Look at its change with ` +
+          `${published.val.by.revision} first. Review the difference with ` +
           `"publish --dry-run", then publish again.\n`,
       );
       return commandLine.EXIT.overtaken;
     case "committed":
       process.stdout.write(formatChange(published.val.change));
-      return await confirmInForce(reach, {
+      return await confirmInForce(connection, {
         revision: published.val.change.revision,
         seconds: Number(input.options.wait ?? DEFAULT_WAIT_SECONDS),
       });
@@ -69,11 +69,11 @@
 }
 
 async function showDifference(
-  reach: reachModule.Reach,
+  connection: reachModule.OperatorConnection,
   parts: readonly core.ConfigPart[],
 ): Promise<number> {
   const read = await store.readConfiguration(
-    reach.store,
+    connection.store,
     core.EMPTY_CONFIGURATION,
   );
   if (read.err) return printError(read.val);
@@ -100,25 +100,28 @@
 }
 
 /**
- * Waits until the revision is in force everywhere and says where it is not.
+ * Waits until the revision is in force at every host, prints the hosts where it
+ * is not, and returns the exit code.
  *
  * @example
- * const code = await confirmInForce(reach, { revision: 3, seconds: 10 });
+ * const code = await confirmInForce(connection, { revision: 3, seconds: 10 });
  */
 export async function confirmInForce(
-  reach: reachModule.Reach,
+  connection: reachModule.OperatorConnection,
   options: { readonly revision: number; readonly seconds: number },
 ): Promise<number> {
-  const behind = await reachModule.waitInForce(reach, options);
-  if (behind.err) {
-    process.stderr.write("It is committed, but no host could be asked.\n");
+  const outdated = await reachModule.waitUntilInForce(connection, options);
+  if (outdated.err) {
+    process.stderr.write(
+      "The change is committed, but no host could be asked whether it is in force.\n",
+    );
     return commandLine.EXIT.notInForce;
   }
-  if (behind.val.length === 0) {
-    process.stdout.write("It is in force at every host.\n");
+  if (outdated.val.length === 0) {
+    process.stdout.write("The change is in force at every host.\n");
     return commandLine.EXIT.ok;
   }
-  behind.val.forEach((one) =>
+  outdated.val.forEach((one) =>
     process.stderr.write(
       `Not in force at ${one.host} in ${one.failureDomain}: ` +
         (one.revision < 0 ? "no answer.\n" : `revision ${one.revision}.\n`),
@@ -128,7 +131,7 @@
 }
 
 /**
- * Returns who publishes, for the audit trail.
+ * Returns the author that the audit trail records for a change.
  *
  * @example
  * getAuthor({ author: "ana" }); // "ana"
--- a/packages/banyangrade/commands/records.ts
+++ b/packages/banyangrade/commands/records.ts
@@ -1,4 +1,4 @@
-/** `banyangrade usage`, `orders` and `customer`: what the store holds. */
+/** `banyangrade usage`, `orders` and `customer`: lists entries of the store. */
 import * as core from "@banyangrade/core";
 import type * as fleet from "@banyangrade/fleet";
 import * as store from "@banyangrade/store";
@@ -7,14 +7,14 @@
 import * as table from "../table.ts";
 import * as publish from "./publish.ts";
 
-/** A table that a command prints. */
+/** A table that a command prints; the headings are also the keys of its JSON output. */
 interface Listing {
   readonly headings: readonly string[];
   readonly rows: readonly (readonly (string | number)[])[];
 }
 
-/** A fixed window as the store keeps it. */
-interface WindowRecord {
+/** A final usage window as the store keeps it. */
+interface StoredWindow {
   readonly fixed: core.FinalWindow;
   readonly reported: boolean;
 }
@@ -27,7 +27,7 @@
     prefix: "banyangrade/usage/",
     headings: ["window", "reported", "requests", "output tokens", "adjusts"],
     toRow: (value) => {
-      const { fixed, reported } = JSON.parse(value) as WindowRecord;
+      const { fixed, reported } = JSON.parse(value) as StoredWindow;
       const figures = Object.values(fixed.figures);
       const sum = (field: keyof core.UsageFigures) =>
         figures.reduce((total, one) => total + one[field], 0);
@@ -60,9 +60,9 @@
 export async function runCustomers(
   input: commandLine.CommandInput,
 ): Promise<number> {
-  return await reachModule.useReach(input.options, async (reach) => {
+  return await reachModule.withConnection(input.options, async (connection) => {
     const read = await store.readConfiguration(
-      reach.store,
+      connection.store,
       core.EMPTY_CONFIGURATION,
     );
     if (read.err) return publish.printError(read.val);
@@ -88,8 +88,8 @@
     readonly toRow: (value: string) => readonly (string | number)[];
   },
 ): Promise<number> {
-  return await reachModule.useReach(input.options, async (reach) => {
-    const listed = await reach.store.list(options.prefix);
+  return await reachModule.withConnection(input.options, async (connection) => {
+    const listed = await connection.store.list(options.prefix);
     if (listed.err) return publish.printError(listed.val);
     return printListing(input, {
       headings: options.headings,
--- a/packages/banyangrade/commands/serve.ts
+++ b/packages/banyangrade/commands/serve.ts
@@ -1,4 +1,4 @@
-/** `banyangrade serve`: runs an entry host until it is told to stop. */
+/** `banyangrade serve`: runs a host until a signal or an operator drains it. */
 import * as utils from "@banyangrade/utils";
 import * as commandLine from "../command_line.ts";
 import * as hostModule from "../host.ts";
@@ -33,12 +33,15 @@
   return undefined;
 }
 
-/** The first signal drains; a second one ends at once. Returns what a signal does. */
+/**
+ * Drains the host on the first signal and exits at once on the second. Returns
+ * the signal handler, so that a drain command has the same effect.
+ */
 function handleSignals(host: hostModule.Host, log: utils.Logger): () => void {
   let stopping = false;
   const stop = () => {
     if (stopping) {
-      log.warn("Second signal; stopping at once.");
+      log.warn("Second stop signal; exiting without draining.");
       process.exit(commandLine.EXIT.failed);
     }
     stopping = true;
--- a/packages/banyangrade/commands/status.ts
+++ b/packages/banyangrade/commands/status.ts
@@ -1,4 +1,4 @@
-/** `banyangrade status`: hosts, revisions, roles, pools and servers. */
+/** `banyangrade status`: shows hosts, revisions, roles, pools and servers. */
 import type * as peer from "@banyangrade/peer";
 import * as commandLine from "../command_line.ts";
 import * as reachModule from "../reach.ts";
@@ -8,42 +8,42 @@
 
 /** Runs the command. */
 export async function run(input: commandLine.CommandInput): Promise<number> {
-  return await reachModule.useReach(
+  return await reachModule.withConnection(
     input.options,
-    (reach) => showStatus(reach, input.options.json === true),
+    (connection) => showStatus(connection, input.options.json === true),
   );
 }
 
 async function showStatus(
-  reach: reachModule.Reach,
+  connection: reachModule.OperatorConnection,
   json: boolean,
 ): Promise<number> {
-  const status = await reachModule.askAnyHost(
-    reach,
+  const response = await reachModule.callAnyHost(
+    connection,
     (client, signal) => client.status.query(undefined, { signal }),
   );
-  if (status.err) return publish.printError(status.val);
-  const revisions = await reachModule.askAnyHost(
-    reach,
+  if (response.err) return publish.printError(response.val);
+  const revisions = await reachModule.callAnyHost(
+    connection,
     (client, signal) => client.revisions.query("everywhere", { signal }),
   );
-  const seen = status.val as statusModule.HostStatus;
+  const hostStatus = response.val as statusModule.HostStatus;
   const hosts = revisions.ok ? revisions.val : [];
   process.stdout.write(
     json
-      ? `${JSON.stringify({ status: seen, hosts })}\n`
-      : formatStatus(seen, hosts),
+      ? `${JSON.stringify({ status: hostStatus, hosts })}\n`
+      : formatStatus(hostStatus, hosts),
   );
   return commandLine.EXIT.ok;
 }
 
 function formatStatus(
-  seen: statusModule.HostStatus,
+  hostStatus: statusModule.HostStatus,
   hosts: readonly peer.HostRevision[],
 ): string {
   const sections = [
-    `Seen from ${seen.host} in ${seen.failureDomain}; ` +
-    `store read ${seen.secondsSinceStoreSeen} s ago.`,
+    `Seen from ${hostStatus.host} in ${hostStatus.failureDomain}; ` +
+    `store read ${hostStatus.secondsSinceStoreSeen} s ago.`,
     table.formatTable(
       ["host", "failure domain", "revision"],
       hosts.map((one) => [
@@ -55,13 +55,13 @@
     table.formatTable(
       ["role", "held by", "fencing token"],
       [
-        ...seen.roles.map((role) => [role.role, role.host, role.token]),
-        ["capacity", seen.capacityLeader, "-"],
+        ...hostStatus.roles.map((role) => [role.role, role.host, role.token]),
+        ["capacity", hostStatus.capacityLeader, "-"],
       ],
     ),
     table.formatTable(
       ["pool", "servers", "running here", "slots", "held back"],
-      seen.pools.map((pool) => [
+      hostStatus.pools.map((pool) => [
         pool.name,
         pool.servers,
         pool.running,
@@ -71,7 +71,7 @@
     ),
     table.formatTable(
       ["server", "pool", "state", "running here"],
-      seen.servers.map((server) => [
+      hostStatus.servers.map((server) => [
         server.name,
         server.pool,
         server.ejected ? "ejected" : server.state,
@@ -80,7 +80,7 @@
     ),
     table.formatTable(
       ["waiting in", "tier", "requests"],
-      seen.lanes.map((lane) => [lane.lane, lane.tier, lane.waiting]),
+      hostStatus.lanes.map((lane) => [lane.lane, lane.tier, lane.waiting]),
     ),
   ];
   return `${sections.join("\n\n")}\n`;
--- a/packages/banyangrade/metrics.ts
+++ b/packages/banyangrade/metrics.ts
@@ -1,28 +1,53 @@
-/** Metrics: histograms per class and per customer with bounded label sets. */
+/** Metrics of the process, with a bounded number of label values. */
 import * as prom from "prom-client";
 
-/** Customers that get a label of their own; the others share one. */
+/** Maximum number of customers with a label of their own; all further customers share one label. */
 const MAX_CUSTOMER_LABELS = 1_600;
-const OTHER_CUSTOMER = "other";
+const OTHER_CUSTOMERS = "other";
 
-const SECONDS = [0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 1, 1.3, 2.5, 5, 10, 30];
-const BETWEEN_TOKENS = [0.005, 0.01, 0.02, 0.03, 0.039, 0.05, 0.1, 0.25, 1];
-/** Fewer buckets, since there is a series for each customer. */
-const CUSTOMER_SECONDS = [0.1, 0.5, 1.3, 5, 30];
+/** Bucket bounds of latencies per class, in seconds. */
+const LATENCY_BUCKETS_S = [
+  0.005,
+  0.02,
+  0.05,
+  0.1,
+  0.25,
+  0.5,
+  1,
+  1.3,
+  2.5,
+  5,
+  10,
+  30,
+];
+/** Bucket bounds of the time between tokens, in seconds. */
+const TOKEN_GAP_BUCKETS_S = [
+  0.005,
+  0.01,
+  0.02,
+  0.03,
+  0.039,
+  0.05,
+  0.1,
+  0.25,
+  1,
+];
+/** Bucket bounds per customer, in seconds. There are few of them because each customer adds a time series per bucket. */
+const CUSTOMER_LATENCY_BUCKETS_S = [0.1, 0.5, 1.3, 5, 30];
 
-/** One finished request. */
+/** Measurements of a request that was answered. */
 export interface FinishedRequest {
   readonly className: string;
   readonly customer: string;
   readonly queueMs: number;
   readonly firstTokenMs: number;
   readonly totalMs: number;
-  /** 0 where there were fewer than two tokens. */
+  /** Mean time between tokens; 0 if the answer has fewer than two tokens. */
   readonly betweenTokensMs: number;
   readonly withinTarget: boolean;
 }
 
-/** The process's metrics. */
+/** Registry of the process's metrics and the methods that record them. */
 export class Metrics {
   readonly registry = new prom.Registry();
   readonly #customers = new Set<string>();
@@ -42,32 +67,32 @@
     name: "banyangrade_between_tokens_seconds",
     help: "Mean time between the tokens of an answer.",
     labelNames: ["class"],
-    buckets: BETWEEN_TOKENS,
+    buckets: TOKEN_GAP_BUCKETS_S,
     registers: [this.registry],
   });
   readonly #customerTotal = new prom.Histogram({
     name: "banyangrade_customer_total_seconds",
     help: "Time from arrival to the end of the answer, per customer.",
     labelNames: ["customer"],
-    buckets: CUSTOMER_SECONDS,
+    buckets: CUSTOMER_LATENCY_BUCKETS_S,
     registers: [this.registry],
   });
-  readonly #attained = this.#createCounter(
+  readonly #requests = this.#createCounter(
     "banyangrade_requests_total",
     "Answered requests by whether they met their class's target.",
     ["class", "attained"],
   );
-  readonly #refused = this.#createCounter(
+  readonly #refusals = this.#createCounter(
     "banyangrade_refusals_total",
     "Refusals by code and by whether anything ran.",
     ["code", "ran"],
   );
-  readonly #failures = this.#createCounter(
+  readonly #attemptFailures = this.#createCounter(
     "banyangrade_attempt_failures_total",
     "Attempts that brought no whole answer, by kind.",
     ["failure"],
   );
-  readonly #left = this.#createCounter(
+  readonly #callersLeft = this.#createCounter(
     "banyangrade_callers_left_total",
     "Callers that left before their answer was whole, by what their request did.",
     ["stage"],
@@ -95,28 +120,28 @@
       finished.totalMs / 1_000,
     );
     const attained = finished.withinTarget ? "yes" : "no";
-    this.#attained.inc({ ...label, attained });
+    this.#requests.inc({ ...label, attained });
   }
 
   recordRefusal(
     refusal: { readonly code: string; readonly ran: string },
   ): void {
-    this.#refused.inc({ code: refusal.code, ran: refusal.ran });
+    this.#refusals.inc({ code: refusal.code, ran: refusal.ran });
   }
 
   recordFailure(failure: string): void {
-    this.#failures.inc({ failure });
+    this.#attemptFailures.inc({ failure });
   }
 
   recordLeft(stage: string): void {
-    this.#left.inc({ stage });
+    this.#callersLeft.inc({ stage });
   }
 
   recordTokens(use: "billed" | "wasted", tokens: number): void {
     this.#tokens.inc({ use }, tokens);
   }
 
-  /** Adds a gauge that is read when the metrics are. */
+  /** Adds a gauge whose value is read whenever the metrics are collected. */
   addGauge(
     name: string,
     { help, read }: { readonly help: string; readonly read: () => number },
@@ -133,7 +158,7 @@
 
   #getCustomerLabel(customer: string): string {
     if (this.#customers.has(customer)) return customer;
-    if (this.#customers.size >= MAX_CUSTOMER_LABELS) return OTHER_CUSTOMER;
+    if (this.#customers.size >= MAX_CUSTOMER_LABELS) return OTHER_CUSTOMERS;
     this.#customers.add(customer);
     return customer;
   }
@@ -143,7 +168,7 @@
       name,
       help,
       labelNames: ["class"],
-      buckets: SECONDS,
+      buckets: LATENCY_BUCKETS_S,
       registers: [this.registry],
     });
   }
--- a/packages/banyangrade/operations_server.ts
+++ b/packages/banyangrade/operations_server.ts
@@ -1,4 +1,4 @@
-/** The port for operations: health, readiness, metrics and a status page. */
+/** HTTP server of the operations port: health, readiness, metrics and status. */
 import * as http from "node:http";
 import type * as net from "node:net";
 import type * as metrics from "./metrics.ts";
@@ -12,14 +12,14 @@
   readonly getStatus: () => unknown;
 }
 
-/** A running server. */
+/** A running operations server. */
 export interface OperationsServer {
   readonly port: number;
   readonly close: () => Promise<void>;
 }
 
 /**
- * Starts the server.
+ * Starts the operations server.
  *
  * @example
  * const server = await startOperationsServer({ hostname, port: 9090, ...rest });
@@ -28,7 +28,9 @@
   options: OperationsServerOptions,
 ): Promise<OperationsServer> {
   const server = http.createServer((request, response) => {
-    answer({ request, response }, options).catch(() => response.destroy());
+    handleRequest({ request, response }, options).catch(() =>
+      response.destroy()
+    );
   });
   await new Promise<void>((resolve) =>
     server.listen(options.port, options.hostname, resolve)
@@ -42,7 +44,7 @@
   };
 }
 
-async function answer(
+async function handleRequest(
   { request, response }: {
     readonly request: http.IncomingMessage;
     readonly response: http.ServerResponse;
@@ -68,15 +70,15 @@
       return;
     case "/":
       response.writeHead(200, { "content-type": "text/html; charset=utf-8" })
-        .end(renderPage(options.getStatus()));
+        .end(renderStatusPage(options.getStatus()));
       return;
     default:
       response.writeHead(404).end("not found\n");
   }
 }
 
-/** The status as one page without scripts; it reloads itself. */
-function renderPage(status: unknown): string {
+/** Renders the status as an HTML page that the browser reloads every 5 s, without scripts. */
+function renderStatusPage(status: unknown): string {
   const text = JSON.stringify(status, undefined, 2)
     .replaceAll("&", "&amp;").replaceAll("<", "&lt;");
   return `<!doctype html><meta charset="utf-8">` +
--- a/packages/banyangrade/process_testing.ts
+++ b/packages/banyangrade/process_testing.ts
@@ -1,15 +1,15 @@
-/** Helpers of the tests that run real hosts. */
+/** Helpers for tests that run host processes. */
 import * as path from "node:path";
 import * as clusterModule from "../../playground/cluster.ts";
 
-/** Service files that the tests publish. */
+/** Folder of the service files that the tests publish. */
 export const SERVICES = path.join(
   import.meta.dirname,
   "../../playground/tanzraum",
 );
 
-/** An answer, read whole. */
-export interface WholeAnswer {
+/** An HTTP response with its whole body. */
+export interface FullResponse {
   readonly status: number;
   readonly text: string;
   readonly headers: Headers;
@@ -26,16 +26,16 @@
 }
 
 /**
- * Calls the room service through a host.
+ * Sends a request to the room service through a host.
  *
  * @example
- * const answer = await sendCall(host, { key, method: "POST", idempotencyKey: "k" });
+ * const response = await sendCall(host, { key, method: "POST", idempotencyKey: "k" });
  */
 export async function sendCall(
   host: clusterModule.HostProcess,
   options: CallOptions,
-): Promise<WholeAnswer> {
-  const answer = await fetch(
+): Promise<FullResponse> {
+  const response = await fetch(
     `${host.callerUrl}${options.path ?? "/services/rooms/bookings"}`,
     {
       method: options.method ?? "POST",
@@ -49,15 +49,15 @@
       body: options.method === "GET" ? undefined : options.body ?? "{}",
     },
   );
-  const text = await answer.text();
-  return { status: answer.status, text, headers: answer.headers };
+  const text = await response.text();
+  return { status: response.status, text, headers: response.headers };
 }
 
 /**
- * Asks for a stream of tokens through a host.
+ * Sends a streaming chat request through a host and reads the whole stream.
  *
  * @example
- * const answer = await sendChat(host, { key, tokens: 20 });
+ * const response = await sendChat(host, { key, tokens: 20 });
  */
 export async function sendChat(
   host: clusterModule.HostProcess,
@@ -66,8 +66,8 @@
     readonly tokens: number;
     readonly prompt?: string;
   },
-): Promise<WholeAnswer> {
-  const answer = await fetch(`${host.callerUrl}/v1/chat/completions`, {
+): Promise<FullResponse> {
+  const response = await fetch(`${host.callerUrl}/v1/chat/completions`, {
     method: "POST",
     headers: { authorization: `Bearer ${options.key}` },
     body: JSON.stringify({
@@ -77,12 +77,12 @@
       messages: [{ role: "user", content: options.prompt ?? "Rooms?" }],
     }),
   });
-  const text = await answer.text();
-  return { status: answer.status, text, headers: answer.headers };
+  const text = await response.text();
+  return { status: response.status, text, headers: response.headers };
 }
 
 /**
- * Takes an operation ticket from a host.
+ * Requests an operation ticket from a host.
  *
  * @example
  * const ticket = await takeTicket(host, key);
@@ -91,22 +91,23 @@
   host: clusterModule.HostProcess,
   key: string,
 ): Promise<string> {
-  const answer = await sendCall(host, { key, path: "/operations" });
-  return JSON.parse(answer.text).ticket as string;
+  const response = await sendCall(host, { key, path: "/operations" });
+  return JSON.parse(response.text).ticket as string;
 }
 
 /**
- * Waits until `check` holds; false if it does not within the time.
+ * Waits until `check` returns true. Returns false if it does not within the
+ * time limit.
  *
  * @example
  * t.ok(await waitUntil(async () => (await sendCall(host, options)).status === 401));
  */
 export async function waitUntil(
   check: () => boolean | Promise<boolean>,
-  ms = 20_000,
+  timeoutMs = 20_000,
 ): Promise<boolean> {
-  const until = Date.now() + ms;
-  while (Date.now() < until) {
+  const deadline = Date.now() + timeoutMs;
+  while (Date.now() < deadline) {
     if (await check()) return true;
     await new Promise((resolve) => setTimeout(resolve, 50));
   }
--- a/packages/banyangrade/reach.ts
+++ b/packages/banyangrade/reach.ts
@@ -1,4 +1,4 @@
-/** How operators' commands reach the store and the hosts. */
+/** Connection of the operators' commands to the store and the hosts. */
 import * as fs from "node:fs";
 import * as z from "zod";
 import * as peer from "@banyangrade/peer";
@@ -6,15 +6,17 @@
 import * as utils from "@banyangrade/utils";
 import type * as commandLine from "./command_line.ts";
 
-/** What an operator's settings file holds. */
+/** Schema of an operator's settings file. */
 export const OPERATOR_SCHEMA = z.strictObject({
   store_url: z.string().describe("Key-value service."),
-  hosts: z.array(z.string()).min(1).describe("Peer addresses of some hosts."),
+  hosts: z.array(z.string()).min(1).describe(
+    "Peer addresses of one or more hosts.",
+  ),
   secret_file: z.string().describe("File with the shared secret of the hosts."),
 });
 
-/** The ways that the options open. */
-export interface Reach {
+/** Clients for the store and the hosts that the options name. */
+export interface OperatorConnection {
   readonly store: store.StoreClient;
   readonly clients: peer.PeerClients;
   readonly hosts: readonly string[];
@@ -22,14 +24,15 @@
 }
 
 /**
- * Opens what the options name; the error is a sentence for the operator.
+ * Opens the connection that the options describe. The error is a message for
+ * the operator.
  *
  * @example
- * const reach = openReach(input.options).unwrap();
+ * const connection = openConnection(input.options).unwrap();
  */
-export function openReach(
+export function openConnection(
   options: commandLine.Options,
-): utils.Result<Reach, string> {
+): utils.Result<OperatorConnection, string> {
   const file = typeof options.operator === "string"
     ? utils.readTomlFile(options.operator, OPERATOR_SCHEMA)
     : utils.Ok(undefined);
@@ -46,7 +49,7 @@
     typeof secretFile !== "string"
   ) {
     return utils.Err(
-      "Give --operator FILE, or --store, --host and --secret-file.",
+      "Specify --operator FILE, or all of --store, --host and --secret-file.",
     );
   }
   const secret = fs.readFileSync(secretFile, "utf8").split("\n")[0].trim();
@@ -64,84 +67,85 @@
 }
 
 /**
- * Opens what the options name, runs `work` and closes it again; a mistake in
- * the options is printed.
+ * Opens the connection that the options describe, runs `work` with it and closes
+ * it. If the options are invalid, prints the error and returns the exit code.
  *
  * @example
- * return await useReach(input.options, async (reach) => 0);
+ * return await withConnection(input.options, async (connection) => 0);
  */
-export async function useReach(
+export async function withConnection(
   options: commandLine.Options,
-  work: (reach: Reach) => Promise<number>,
+  work: (connection: OperatorConnection) => Promise<number>,
 ): Promise<number> {
-  const reach = openReach(options);
-  if (reach.err) {
-    process.stderr.write(`${reach.val}\n`);
+  const connection = openConnection(options);
+  if (connection.err) {
+    process.stderr.write(`${connection.val}\n`);
     return EXIT_USAGE;
   }
   try {
-    return await work(reach.val);
+    return await work(connection.val);
   } finally {
-    await reach.val.close();
+    await connection.val.close();
   }
 }
 
-/** Exit code of a wrong command line. */
+/** Exit code of an invalid command line. */
 const EXIT_USAGE = 2;
 
 /**
- * Asks the first host that answers.
+ * Calls the hosts in order until one answers without an error, and returns its
+ * answer, or the last error.
  *
  * @example
- * const status = await askAnyHost(reach, (client, signal) => client.status.query(undefined, { signal }));
+ * const status = await callAnyHost(connection, (client, signal) => client.status.query(undefined, { signal }));
  */
-export async function askAnyHost<Answer>(
-  reach: Reach,
+export async function callAnyHost<Answer>(
+  connection: OperatorConnection,
   run: Parameters<peer.PeerClients["call"]>[1] extends
     (client: infer Client, signal: AbortSignal) => unknown
     ? (client: Client, signal: AbortSignal) => Promise<Answer>
     : never,
 ): Promise<utils.Result<Answer, utils.StepError>> {
-  let last: utils.Result<Answer, utils.StepError> = utils.Err(
+  let lastResult: utils.Result<Answer, utils.StepError> = utils.Err(
     utils.createStepError("unreachable", {
       step: "operator.ask",
       peer: "hosts",
-      message: "No host is named.",
+      message: "No host address is configured.",
     }),
   );
-  for (const address of reach.hosts) {
-    last = await reach.clients.call(
+  for (const address of connection.hosts) {
+    lastResult = await connection.clients.call(
       { address, step: "operator.ask" },
       run,
       3_000,
     );
-    if (last.ok) return last;
+    if (lastResult.ok) return lastResult;
   }
-  return last;
+  return lastResult;
 }
 
 /**
- * Waits until a revision is in force at every host that can be asked, and
- * returns the hosts where it is not when the time is over.
+ * Waits until a revision is in force at every host. Returns the hosts where it
+ * is not yet in force when the time limit ends.
  *
  * @example
- * const behind = await waitInForce(reach, { revision: 7, seconds: 10 });
+ * const outdated = await waitUntilInForce(connection, { revision: 7, seconds: 10 });
  */
-export async function waitInForce(
-  reach: Reach,
+export async function waitUntilInForce(
+  connection: OperatorConnection,
   options: { readonly revision: number; readonly seconds: number },
 ): Promise<utils.Result<readonly peer.HostRevision[], utils.StepError>> {
-  const until = Date.now() + options.seconds * 1_000;
+  const deadline = Date.now() + options.seconds * 1_000;
   for (;;) {
-    const listed = await askAnyHost(
-      reach,
+    const listed = await callAnyHost(
+      connection,
       (client, signal) => client.revisions.query("everywhere", { signal }),
     );
-    const behind = listed.ok
+    const outdated = listed.ok
       ? listed.val.filter((one) => one.revision < options.revision)
       : undefined;
-    if (behind?.length === 0 || Date.now() >= until) {
-      return listed.map(() => behind ?? []);
+    if (outdated?.length === 0 || Date.now() >= deadline) {
+      return listed.map(() => outdated ?? []);
     }
     await utils.waitFor(100);
   }
--- a/packages/banyangrade/settings.ts
+++ b/packages/banyangrade/settings.ts
@@ -1,4 +1,4 @@
-/** A host's settings: one typed object, resolved once at the start and passed on. */
+/** A host's settings: their schema, and readers of the files that they name. */
 import * as fs from "node:fs";
 import * as z from "zod";
 import * as caller from "@banyangrade/caller";
@@ -19,59 +19,67 @@
   error: "A name has lower-case letters, digits and '-'.",
 });
 
-/** What a settings file holds. */
+/** Schema of a host's settings file. */
 export const SETTINGS_SCHEMA = z.strictObject({
   host: z.strictObject({
     name: NAME.describe("Name of this host, unique among all hosts."),
-    failure_domain: NAME.describe("Failure domain this host stands in."),
+    failure_domain: NAME.describe("Failure domain of this host."),
   }).describe("This host."),
   caller: z.strictObject({
-    address: ADDRESS.describe("Where callers connect."),
+    address: ADDRESS.describe("Address at which callers connect."),
     cert_file: z.string().optional().describe("Certificate, PEM."),
     key_file: z.string().optional().describe("Private key, PEM."),
     max_body_bytes: z.number().int().positive().default(
       caller.DEFAULT_LIMITS.maxBodyBytes,
-    ).describe("Largest body of a request."),
+    ).describe("Maximum size of a request body."),
     max_buffered_bytes: z.number().int().positive().default(
       caller.DEFAULT_LIMITS.maxBufferedBytes,
-    ).describe("Most bytes of bodies in memory at once."),
+    ).describe("Maximum total size of request bodies in memory."),
     max_connections: z.number().int().positive().default(
       caller.DEFAULT_LIMITS.maxConnections,
-    ).describe("Most connections of callers."),
+    ).describe("Maximum number of connections of callers."),
   }).describe("The port for callers."),
   operations: z.strictObject({
-    address: ADDRESS.describe("Where health, metrics and status are served."),
+    address: ADDRESS.describe(
+      "Address at which health, metrics and status are served.",
+    ),
   }).describe("The port for operations."),
   peer: z.strictObject({
-    address: ADDRESS.describe("Where other hosts and operators connect."),
+    address: ADDRESS.describe(
+      "Address at which other hosts and operators connect.",
+    ),
     advertised_address: ADDRESS.optional().describe(
-      "Address that other hosts are told, if it is another one.",
+      "Address that other hosts use, if it differs from address.",
     ),
     secret_file: z.string().describe(
-      "File with the shared secret of all hosts; a second line is accepted too.",
+      "File with the shared secret of all hosts; further lines are accepted, too.",
     ),
     cert_file: z.string().optional().describe(
       "Certificate for mutual TLS, PEM.",
     ),
     key_file: z.string().optional().describe("Private key, PEM."),
-    ca_file: z.string().optional().describe("Authority of all hosts, PEM."),
+    ca_file: z.string().optional().describe(
+      "Certificate authority of all hosts, PEM.",
+    ),
     seeds: z.array(z.strictObject({
       name: NAME.describe("Name of the host."),
       failure_domain: NAME.describe("Its failure domain."),
       address: ADDRESS.describe("Its peer address."),
-    })).default([]).describe("Some other hosts, for the first contact."),
+    })).default([]).describe("Hosts that this host contacts first to join."),
   }).describe("The port between hosts."),
   platform: z.strictObject({
     store_url: URL_OPTION.describe("Key-value service."),
-    fleet_url: URL_OPTION.describe("Host list, backend servers and orders."),
-    usage_url: URL_OPTION.describe("Usage reports."),
+    fleet_url: URL_OPTION.describe(
+      "Fleet service: hosts, backend servers and orders.",
+    ),
+    usage_url: URL_OPTION.describe("Service that receives usage reports."),
   }).describe("The platform's services."),
   usage: z.strictObject({
     window_seconds: z.number().int().positive().default(60).describe(
       "Length of a usage window.",
     ),
     grace_seconds: z.number().nonnegative().default(5).describe(
-      "Time after a window's end for usage to arrive.",
+      "Time after a window's end in which usage may still arrive.",
     ),
   }).prefault({}).describe("Usage windows."),
   control: z.strictObject({
@@ -79,24 +87,24 @@
       "Length of a control role's lease.",
     ),
     offline_seconds: z.number().positive().default(900).describe(
-      "Time without word from the store after which keys are refused.",
+      "Time without contact to the store after which keys are refused.",
     ),
     drain_seconds: z.number().positive().default(120).describe(
-      "Longest time a planned stop waits for running requests.",
+      "Maximum time a planned stop waits for running requests.",
     ),
   }).prefault({}).describe("Control roles and limits in outages."),
   log: z.strictObject({
     level: z.enum(utils.LOG_LEVELS).default("info").describe(
-      "Least severe level that is logged.",
+      "Lowest severity that is logged.",
     ),
   }).prefault({}).describe("Logging."),
 });
 
-/** Settings, resolved. */
+/** A host's settings with all defaults filled in. */
 export type Settings = z.infer<typeof SETTINGS_SCHEMA>;
 
 /**
- * Returns the peer address that other hosts are told.
+ * Returns the peer address at which other hosts connect to this host.
  *
  * @example
  * getAdvertisedAddress(settings); // "10.0.0.7:7000"
@@ -106,7 +114,8 @@
 }
 
 /**
- * Reads the shared secrets: the first line is used, the others are accepted.
+ * Reads the shared secrets. This host sends the first one and accepts them all,
+ * so that the secret can be replaced host by host.
  *
  * @example
  * const [own] = readSecrets(settings);
@@ -117,7 +126,8 @@
 }
 
 /**
- * Reads the certificate towards callers; undefined without TLS.
+ * Reads the certificate and key of the port for callers. Returns undefined if
+ * the settings name none, so that the port works without TLS.
  *
  * @example
  * const tls = readCallerTls(settings);
@@ -134,7 +144,8 @@
 }
 
 /**
- * Reads the certificate between hosts; undefined without TLS.
+ * Reads the certificate, key and certificate authority for mutual TLS between
+ * hosts. Returns undefined if the settings do not name all three.
  *
  * @example
  * const tls = readPeerTls(settings);
--- a/packages/banyangrade/status.ts
+++ b/packages/banyangrade/status.ts
@@ -1,8 +1,8 @@
-/** What a host says of itself and of its failure domain. */
+/** Status of a host, and the revisions in force at all hosts. */
 import type * as peer from "@banyangrade/peer";
 import type * as hostParts from "./host_parts.ts";
 
-/** Status of one host. */
+/** Status of one host, as it sees itself and its failure domain. */
 export interface HostStatus {
   readonly host: string;
   readonly failureDomain: string;
@@ -18,7 +18,7 @@
     servers: number;
     running: number;
     slots: number;
-    /** Classes that are held back, with this host's slots for each. */
+    /** Each class whose requests are held back, with its limit in slots on this host. */
     limits: readonly string[];
   }[];
   readonly servers: readonly {
@@ -35,22 +35,22 @@
 }
 
 /**
- * Builds the status from live state.
+ * Builds the status from the current state of the host.
  *
  * @example
  * const status = buildStatus(parts);
  */
 export function buildStatus(parts: hostParts.HostParts): HostStatus {
-  const seen = parts.dispatcher.inspect();
+  const snapshot = parts.dispatcher.inspect();
   const now = parts.clock.now();
-  const since = parts.clock.wall() - parts.overlay.getConfirmedAt();
+  const storeAgeMs = parts.clock.wall() - parts.overlay.getConfirmedAt();
   return {
     host: parts.settings.host.name,
     failureDomain: parts.settings.host.failure_domain,
     ready: parts.state.ready,
     draining: parts.state.draining,
     revision: parts.config.get().revision,
-    secondsSinceStoreSeen: Math.round(since / 1_000),
+    secondsSinceStoreSeen: Math.round(storeAgeMs / 1_000),
     members: parts.overlay.members.listAll().map(({ name, status }) => ({
       name,
       status,
@@ -61,23 +61,23 @@
       token,
     })),
     capacityLeader: parts.capacity.getLeader().name,
-    pools: seen.pools.map((pool) => ({
+    pools: snapshot.pools.map((pool) => ({
       name: pool.part.name,
       servers:
-        seen.servers.filter((server) => server.info.pool === pool.part.name)
+        snapshot.servers.filter((server) => server.info.pool === pool.part.name)
           .length,
       running: pool.running,
       slots: pool.totalSlots,
       limits: [...pool.limits].map(([name, slots]) => `${name} ${slots}`),
     })),
-    servers: seen.servers.map((server) => ({
+    servers: snapshot.servers.map((server) => ({
       name: server.info.name,
       pool: server.info.pool,
       state: server.info.state,
       running: server.running,
       ejected: server.ejectedUntil > now,
     })),
-    lanes: seen.lanes.map((lane) => ({
+    lanes: snapshot.lanes.map((lane) => ({
       lane: lane.key,
       tier: lane.tier,
       waiting: lane.size,
@@ -89,8 +89,9 @@
 }
 
 /**
- * Lists the revision in force at each host: of this failure domain by asking
- * each member, of the others by asking one host there to do the same.
+ * Lists the revision in force at each host. This host asks each active member
+ * of its own failure domain, and one contact host of each other failure domain
+ * for the revisions there. A host that does not respond has the revision -1.
  *
  * @example
  * const revisions = await listRevisions(parts, "everywhere");
@@ -99,30 +100,30 @@
   parts: hostParts.HostParts,
   scope: "domain" | "everywhere",
 ): Promise<peer.HostRevision[]> {
-  const own = await listOwnDomain(parts);
-  if (scope === "domain") return own;
-  const others = await Promise.all(
+  const local = await fetchDomainRevisions(parts);
+  if (scope === "domain") return local;
+  const remote = await Promise.all(
     parts.overlay.listRemoteContacts().map((contact) =>
-      askDomain(parts, contact)
+      fetchRemoteRevisions(parts, contact)
     ),
   );
-  return [...own, ...others.flat()];
+  return [...local, ...remote.flat()];
 }
 
-async function askDomain(
+async function fetchRemoteRevisions(
   parts: hostParts.HostParts,
   contact: peer.Contact,
 ): Promise<readonly peer.HostRevision[]> {
-  const answer = await parts.clients.call(
+  const response = await parts.clients.call(
     { address: contact.address, step: "peer.revisions" },
     (client, signal) => client.revisions.query("domain", { signal }),
   );
-  if (answer.ok) return answer.val;
+  if (response.ok) return response.val;
   const { name: host, failureDomain } = contact;
   return [{ host, failureDomain, revision: -1 }];
 }
 
-async function listOwnDomain(
+async function fetchDomainRevisions(
   parts: hostParts.HostParts,
 ): Promise<peer.HostRevision[]> {
   const failureDomain = parts.settings.host.failure_domain;
@@ -133,18 +134,18 @@
       failureDomain,
       revision: member.name === self
         ? parts.config.get().revision
-        : await askRevision(parts, member.address),
+        : await fetchRevision(parts, member.address),
     })),
   );
 }
 
-async function askRevision(
+async function fetchRevision(
   parts: hostParts.HostParts,
   address: string,
 ): Promise<number> {
-  const answer = await parts.clients.call(
+  const response = await parts.clients.call(
     { address, step: "peer.revision" },
     (client, signal) => client.revision.query(undefined, { signal }),
   );
-  return answer.ok ? answer.val : -1;
+  return response.ok ? response.val : -1;
 }
--- a/packages/banyangrade/table.ts
+++ b/packages/banyangrade/table.ts
@@ -1,11 +1,11 @@
-/** Tables for terminals, 80 columns wide. */
+/** Formats tables for terminals that are 80 columns wide. */
 import * as cliTable from "cli-table3";
 
-/** Widest a cell may be, so that a row of four fits in 80 columns. */
-const MAX_CELL = 36;
+/** Maximum width of a cell, in characters. Longer texts are cut off, so that a row fits the terminal. */
+const MAX_CELL_WIDTH = 36;
 
 /**
- * Formats rows under headings without frames.
+ * Formats rows under headings as a table without borders.
  *
  * @example
  * formatTable(["host", "revision"], [["a", "3"]]);
@@ -17,7 +17,7 @@
   const table = new cliTable.default({
     head: [...headings],
     style: { head: [], border: [], "padding-left": 0, "padding-right": 2 },
-    chars: EMPTY_FRAME,
+    chars: NO_BORDERS,
   });
   rows.forEach((row) =>
     table.push(row.map((cell) => shortenCell(String(cell))))
@@ -25,7 +25,7 @@
   return table.toString().split("\n").map((line) => line.trimEnd()).join("\n");
 }
 
-const EMPTY_FRAME = Object.fromEntries(
+const NO_BORDERS = Object.fromEntries(
   [
     "top",
     "top-mid",
@@ -46,5 +46,7 @@
 );
 
 function shortenCell(text: string): string {
-  return text.length <= MAX_CELL ? text : `${text.slice(0, MAX_CELL - 1)}…`;
+  return text.length <= MAX_CELL_WIDTH
+    ? text
+    : `${text.slice(0, MAX_CELL_WIDTH - 1)}…`;
 }
