--- a/packages/banyangrade/command_line.ts
+++ b/packages/banyangrade/command_line.ts
@@ -88,7 +88,7 @@
     load: () => import("./commands/key.ts"),
   },
   customer: {
-    summary: "List customers, their classes and targets, and their keys.",
+    summary: "List customers with their classes, targets and number of keys.",
     usage: "customer [--json]",
     example: "banyangrade customer --operator operator.toml",
     options: CONNECTION_OPTIONS,
@@ -204,9 +204,9 @@
 }
 
 function formatHelp(command: Command): string {
-  const reach = "operator" in command.options ? CONNECTION_HELP : "";
+  const connectionHelp = "operator" in command.options ? CONNECTION_HELP : "";
   return `${command.summary}\n\nUsage:\n  banyangrade ${command.usage}\n\n` +
-    `Example:\n  ${command.example}\n${reach}\n` +
+    `Example:\n  ${command.example}\n${connectionHelp}\n` +
     `Exit codes: 0 done, 1 failed, 2 invalid arguments or file, ` +
     `3 another operator published first, 4 not in force at every host\n`;
 }
--- a/packages/banyangrade/commands/explain.ts
+++ b/packages/banyangrade/commands/explain.ts
@@ -3,7 +3,7 @@
 import type * as core from "@banyangrade/core";
 import * as commandLine from "../command_line.ts";
 import * as requestTrace from "../request_trace.ts";
-import * as reachModule from "../reach.ts";
+import * as reach from "../reach.ts";
 import type * as statusModule from "../status.ts";
 import * as publish from "./publish.ts";
 
@@ -22,9 +22,9 @@
   if (subject === "request" && typeof log === "string") {
     return explainFromLog(log, name);
   }
-  return await reachModule.withConnection(input.options, async (connection) => {
+  return await reach.withConnection(input.options, async (connection) => {
     if (subject === "request") return await explainRequest(connection, name);
-    const response = await reachModule.callAnyHost(
+    const response = await reach.callAnyHost(
       connection,
       (client, signal) => client.status.query(undefined, { signal }),
     );
@@ -56,11 +56,11 @@
 
 /** Asks each configured host in turn, because only the host that refused a request keeps the refusal. */
 async function explainRequest(
-  connection: reachModule.OperatorConnection,
+  connection: reach.OperatorConnection,
   requestId: string,
 ): Promise<number> {
   for (const address of connection.hosts) {
-    const response = await reachModule.callAnyHost(
+    const response = await reach.callAnyHost(
       { ...connection, hosts: [address] },
       (client, signal) => client.refusal.query(requestId, { signal }),
     );
--- a/packages/banyangrade/commands/records.ts
+++ b/packages/banyangrade/commands/records.ts
@@ -3,7 +3,7 @@
 import type * as fleet from "@banyangrade/fleet";
 import * as store from "@banyangrade/store";
 import * as commandLine from "../command_line.ts";
-import * as reachModule from "../reach.ts";
+import * as reach from "../reach.ts";
 import * as table from "../table.ts";
 import * as publish from "./publish.ts";
 
@@ -60,7 +60,7 @@
 export async function runCustomers(
   input: commandLine.CommandInput,
 ): Promise<number> {
-  return await reachModule.withConnection(input.options, async (connection) => {
+  return await reach.withConnection(input.options, async (connection) => {
     const read = await store.readConfiguration(
       connection.store,
       core.EMPTY_CONFIGURATION,
@@ -88,7 +88,7 @@
     readonly toRow: (value: string) => readonly (string | number)[];
   },
 ): Promise<number> {
-  return await reachModule.withConnection(input.options, async (connection) => {
+  return await reach.withConnection(input.options, async (connection) => {
     const listed = await connection.store.list(options.prefix);
     if (listed.err) return publish.printError(listed.val);
     return printListing(input, {
--- a/packages/banyangrade/commands/status.ts
+++ b/packages/banyangrade/commands/status.ts
@@ -1,29 +1,29 @@
 /** `banyangrade status`: shows hosts, revisions, roles, pools and servers. */
 import type * as peer from "@banyangrade/peer";
 import * as commandLine from "../command_line.ts";
-import * as reachModule from "../reach.ts";
+import * as reach from "../reach.ts";
 import type * as statusModule from "../status.ts";
 import * as table from "../table.ts";
 import * as publish from "./publish.ts";
 
 /** Runs the command. */
 export async function run(input: commandLine.CommandInput): Promise<number> {
-  return await reachModule.withConnection(
+  return await reach.withConnection(
     input.options,
     (connection) => showStatus(connection, input.options.json === true),
   );
 }
 
 async function showStatus(
-  connection: reachModule.OperatorConnection,
+  connection: reach.OperatorConnection,
   json: boolean,
 ): Promise<number> {
-  const response = await reachModule.callAnyHost(
+  const response = await reach.callAnyHost(
     connection,
     (client, signal) => client.status.query(undefined, { signal }),
   );
   if (response.err) return publish.printError(response.val);
-  const revisions = await reachModule.callAnyHost(
+  const revisions = await reach.callAnyHost(
     connection,
     (client, signal) => client.revisions.query("everywhere", { signal }),
   );
--- a/packages/banyangrade/commands_test.ts
+++ b/packages/banyangrade/commands_test.ts
@@ -76,9 +76,9 @@
   });
 
   await t.test("an invalid command line names the invalid part and exits with 2", async (t) => {
-    const wrong = await run("publish", "--service", "x");
-    t.equal(wrong.code, 2);
-    t.match(wrong.output, /--service/);
+    const invalid = await run("publish", "--service", "x");
+    t.equal(invalid.code, 2);
+    t.match(invalid.output, /--service/);
     t.equal((await run("publsh")).code, 2);
   });
 
--- a/packages/banyangrade/cut_test.ts
+++ b/packages/banyangrade/cut_test.ts
@@ -20,8 +20,8 @@
   const [rosenheim, weilheim] = cluster.hosts;
   const sendChat = (host: clusterModule.HostProcess) =>
     testing.sendChat(host, { key, tokens: 5 });
-  const sendLookup = (host: clusterModule.HostProcess, by = key) =>
-    testing.sendCall(host, { key: by, method: "GET", className: "lookup" });
+  const sendLookup = (host: clusterModule.HostProcess, apiKey = key) =>
+    testing.sendCall(host, { key: apiKey, method: "GET", className: "lookup" });
   const sendBooking = (idempotencyKey: string) =>
     testing.sendCall(rosenheim, { key, idempotencyKey, body: "cut" });
   const countBookings = () =>
@@ -64,14 +64,16 @@
 
   await t.test("a withdrawn key is refused on both sides of the partition", async (t) => {
     // Both sides still reach the store and read the withdrawal there.
-    const own = await cluster.createKey("studio-rosenheim", ["lookup"]);
+    const withdrawnKey = await cluster.createKey("studio-rosenheim", [
+      "lookup",
+    ]);
     const isAccepted = async (host: clusterModule.HostProcess) =>
-      (await sendLookup(host, own)).status === 200;
+      (await sendLookup(host, withdrawnKey)).status === 200;
     t.ok(await testing.waitUntil(() => isAccepted(rosenheim)));
     t.ok(await testing.waitUntil(() => isAccepted(weilheim)));
-    await cluster.runCommand(["key", "withdraw", own.split("_")[1]]);
+    await cluster.runCommand(["key", "withdraw", withdrawnKey.split("_")[1]]);
     const isRefused = async (host: clusterModule.HostProcess) =>
-      (await sendLookup(host, own)).status === 401;
+      (await sendLookup(host, withdrawnKey)).status === 401;
     t.ok(await testing.waitUntil(() => isRefused(rosenheim)));
     t.ok(await testing.waitUntil(() => isRefused(weilheim)));
   });
--- a/packages/banyangrade/input_test.ts
+++ b/packages/banyangrade/input_test.ts
@@ -77,13 +77,13 @@
   });
 
   await t.test("invalid HTTP is refused", async (t) => {
-    const long = `GET /v1/models HTTP/1.1\r\n${headers}X-A: ${
+    const oversizedHeader = `GET /v1/models HTTP/1.1\r\n${headers}X-A: ${
       "a".repeat(20_000)
     }\r\n\r\n`;
-    t.match(await sendRaw(host, long), /^HTTP\/1.1 431 .*too long/s);
-    const lengths = `POST /v1/completions HTTP/1.1\r\n${headers}` +
+    t.match(await sendRaw(host, oversizedHeader), /^HTTP\/1.1 431 .*too long/s);
+    const conflictingLengths = `POST /v1/completions HTTP/1.1\r\n${headers}` +
       `Content-Length: 2\r\nContent-Length: 3\r\n\r\n{}`;
-    t.match(await sendRaw(host, lengths), /^HTTP\/1.1 400 /);
+    t.match(await sendRaw(host, conflictingLengths), /^HTTP\/1.1 400 /);
     const smuggled = `POST /v1/completions HTTP/1.1\r\n${headers}` +
       `Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n`;
     t.match(await sendRaw(host, smuggled), /^HTTP\/1.1 400 /);
--- a/packages/banyangrade/path_test.ts
+++ b/packages/banyangrade/path_test.ts
@@ -55,14 +55,14 @@
     error: { code: "not_authenticated", ran: "no" },
   });
 
-  const until = Date.now() + 30_000;
+  const deadline = Date.now() + 30_000;
   const countReported = () =>
     [...cluster.usage.windows.values()].flatMap((window) => [
       window.figures,
       ...window.adjustments.map((adjustment) => adjustment.figures),
     ]).flatMap((figures) => Object.values(figures))
       .reduce((sum, figures) => sum + figures.requests, 0);
-  while (countReported() < 6 && Date.now() < until) {
+  while (countReported() < 6 && Date.now() < deadline) {
     await new Promise((resolve) => setTimeout(resolve, 100));
   }
   t.equal(countReported(), 6, "each request is reported once");
--- a/packages/banyangrade/settings.ts
+++ b/packages/banyangrade/settings.ts
@@ -52,7 +52,7 @@
       "Address that other hosts use, if it differs from address.",
     ),
     secret_file: z.string().describe(
-      "File with the shared secret of all hosts; further lines are accepted, too.",
+      "File with the shared secret of all hosts. Secrets on further lines are accepted, too.",
     ),
     cert_file: z.string().optional().describe(
       "Certificate for mutual TLS, PEM.",
@@ -127,7 +127,7 @@
 
 /**
  * Reads the certificate and key of the port for callers. Returns undefined if
- * the settings name none, so that the port works without TLS.
+ * the settings do not name both, and the port then works without TLS.
  *
  * @example
  * const tls = readCallerTls(settings);
--- a/packages/banyangrade/table.ts
+++ b/packages/banyangrade/table.ts
@@ -1,7 +1,7 @@
 /** Formats tables for terminals that are 80 columns wide. */
 import * as cliTable from "cli-table3";
 
-/** Maximum width of a cell, in characters. Longer texts are cut off, so that a row fits the terminal. */
+/** Maximum width of a cell, in characters. Longer texts are shortened, so that a row of four cells fits in 80 columns. */
 const MAX_CELL_WIDTH = 36;
 
 /**
