--- a/packages/peer/client.ts
+++ b/packages/peer/client.ts
@@ -1,4 +1,4 @@
-/** Connections to other hosts: one for each, kept open, opened when first needed. */
+/** Client connections to other hosts: one persistent connection per host, opened on first use. */
 import * as trpc from "@trpc/client";
 import type * as trpcServer from "@trpc/server";
 import * as websocket from "ws";
@@ -6,20 +6,20 @@
 import type * as protocol from "./protocol.ts";
 import type * as server from "./server.ts";
 
-/** Time after which a call has failed, in ms. */
+/** Default timeout of a call, in ms. */
 const CALL_TIMEOUT_MS = 700;
-/** A connection that was not used for this long is closed, in ms. */
-const IDLE_CLOSE_MS = 60_000;
+/** Idle time after which a connection is closed, in ms. */
+const IDLE_TIMEOUT_MS = 60_000;
 
 type AnyRouter = trpcServer.AnyRouter;
 
 /**
- * When a connection that was given up is closed once more, in ms. The library
- * may be about to connect again at the moment it is closed, and then goes on
- * for ever: it shows as a process that does not end, and as connections to
- * hosts that are gone. It takes up to 200 ms to notice each time.
+ * Delays in ms after which a closed connection is closed again. If the library is
+ * about to reconnect when it is closed, it keeps reconnecting forever. The process
+ * then does not exit, and it keeps connecting to hosts that no longer exist. The
+ * library takes up to 200 ms to react to each close.
  */
-const CLOSE_AGAIN_MS = [250, 1_000];
+const REPEATED_CLOSE_DELAYS_MS = [250, 1_000];
 
 interface Connection<Router extends AnyRouter> {
   readonly client: trpc.TRPCClient<Router>;
@@ -27,7 +27,7 @@
   usedAt: number;
 }
 
-/** What a call does once it has its client. */
+/** Runs a call with the client of a connection. */
 export type PeerRun<Router extends AnyRouter, Answer> = (
   client: trpc.TRPCClient<Router>,
   signal: AbortSignal,
@@ -37,11 +37,11 @@
 export interface PeerClientsOptions {
   readonly secret: string;
   readonly clock: utils.Clock;
-  /** Read for each new connection, so that a replaced certificate is used. */
+  /** Returns the certificates; called for each new connection, so that renewed certificates are used. */
   readonly getTls?: () => server.PeerTls | undefined;
 }
 
-/** Calls other hosts by address; the router is that of the protocol they serve. */
+/** Calls other hosts by address. `Router` is the router of the protocol that they serve. */
 export class PeerClients<Router extends AnyRouter = protocol.PeerRouter> {
   readonly #options: PeerClientsOptions;
   readonly #connections = new Map<string, Connection<Router>>();
@@ -52,8 +52,9 @@
   }
 
   /**
-   * Runs one call at a host. Never rejects; no answer in time is
-   * `unknown_outcome`, since the other host may have taken it.
+   * Calls a host and returns the result; the promise never rejects. A call that
+   * fails or times out ends with `unknown_outcome`, because the other host may have
+   * processed it.
    */
   async call<Answer>(
     to: { readonly address: string; readonly step: string },
@@ -65,7 +66,7 @@
     const connection = this.#connect(peer);
     try {
       return utils.Ok(
-        await withTimeout(
+        await runWithTimeout(
           timeoutMs,
           (signal) => run(connection.client, signal),
         ),
@@ -77,22 +78,22 @@
         utils.createStepError("unknown_outcome", { step, peer, message }),
       );
     } finally {
-      // A call that was just beginning as another one gave the connection up
-      // makes the library open it again, and try for ever to reach a host that
-      // may be gone: it shows as a process that does not end.
+      // If this call started while another call dropped the connection, the
+      // library reopens it and may try forever to reach a host that no longer
+      // exists, so that the process does not exit.
       if (this.#connections.get(peer) !== connection) connection.close();
     }
   }
 
-  /** Calls sent so far. */
+  /** Returns the number of calls sent so far. */
   countSent(): number {
     return this.#sent;
   }
 
-  /** Closes what has not been used for a while. */
+  /** Closes idle connections. */
   closeIdle(): void {
-    const oldest = this.#options.clock.now() - IDLE_CLOSE_MS;
-    [...this.#connections].filter(([, { usedAt }]) => usedAt < oldest)
+    const idleSince = this.#options.clock.now() - IDLE_TIMEOUT_MS;
+    [...this.#connections].filter(([, { usedAt }]) => usedAt < idleSince)
       .forEach(([address]) => this.#drop(address));
   }
 
@@ -115,8 +116,9 @@
   }
 
   /**
-   * Drops a connection after a failed call. The library would keep it and send
-   * what is queued once it is open again, long after the caller gave up.
+   * Closes a connection and removes it. After a failed call, the library would
+   * otherwise keep the connection and, once it has reconnected, send queued calls
+   * long after their timeouts.
    */
   #drop(address: string): void {
     this.#connections.get(address)?.close();
@@ -131,14 +133,14 @@
   const tls = options.getTls?.();
   const socket = trpc.createWSClient({
     url: `${tls === undefined ? "ws" : "wss"}://${address}`,
-    // deno-lint-ignore no-explicit-any -- the library asks for the browser's type
+    // deno-lint-ignore no-explicit-any -- the library's type is that of the browser's WebSocket
     WebSocket: buildSocketClass(tls) as any,
     connectionParams: { secret: options.secret },
     retryDelayMs: () => 200,
   });
   const client = trpc.createTRPCClient<Router>({
-    // What the link asks for beyond the client depends on the router's
-    // transformer, of which ours have none.
+    // The type of the link's options depends on the router's transformer; the
+    // routers of this project have none, so only the client is needed.
     links: [
       trpc.wsLink({ client: socket } as trpc.WebSocketLinkOptions<Router>),
     ],
@@ -148,31 +150,31 @@
     client,
     close: () => {
       close();
-      CLOSE_AGAIN_MS.forEach((ms) => setTimeout(close, ms));
+      REPEATED_CLOSE_DELAYS_MS.forEach((ms) => setTimeout(close, ms));
     },
   };
 }
 
-/** The library gives a socket no options, so they are bound to its class. */
+/** Returns a WebSocket class with the TLS options built in, because the library passes no options to its sockets. */
 function buildSocketClass(tls: server.PeerTls | undefined): unknown {
   if (tls === undefined) return websocket.WebSocket;
   return new Proxy(websocket.WebSocket, {
     construct: (target, [url]) =>
-      new target(url, { ...tls, checkServerIdentity: acceptAnyName }),
+      new target(url, { ...tls, checkServerIdentity: acceptAnyHostName }),
   });
 }
 
 /**
- * Hosts are known by IP number, so the name in a certificate says nothing; its
- * authority is what counts, and that is checked. Node takes any value but
- * undefined for an error, whatever the library's type says.
+ * Accepts a certificate with any host name. Hosts are addressed by IP address, so
+ * the name is not checked; the certificate authority is. Node.js treats any return
+ * value other than undefined as an error, contrary to the declared type.
  */
-function acceptAnyName(): boolean {
+function acceptAnyHostName(): boolean {
   return undefined as unknown as boolean;
 }
 
-/** The library's sockets do not end a call on its signal while they connect. */
-function withTimeout<Answer>(
+/** Rejects a call after a timeout. The abort signal alone is not enough, because the library ignores it while the socket is connecting. */
+function runWithTimeout<Answer>(
   ms: number,
   run: (signal: AbortSignal) => Promise<Answer>,
 ): Promise<Answer> {
@@ -180,7 +182,7 @@
   return new Promise<Answer>((resolve, reject) => {
     const timer = setTimeout(() => {
       abort.abort();
-      reject(new Error(`No answer within ${ms} ms.`));
+      reject(new Error(`The host did not answer within ${ms} ms.`));
     }, ms);
     run(abort.signal).then(resolve, reject).finally(() => clearTimeout(timer));
   });
--- a/packages/peer/client_test.ts
+++ b/packages/peer/client_test.ts
@@ -1,4 +1,4 @@
-/** Connections to hosts that are gone. */
+/** Tests connections to hosts that no longer exist. */
 import * as net from "node:net";
 import * as tapModule from "tap";
 import * as utils from "@banyangrade/utils";
@@ -6,23 +6,23 @@
 
 const tap = tapModule.default;
 
-/** Time in which a connection that was given up has ended, in ms. */
-const ENDED_MS = 1_600;
-/** Time for which nobody may connect afterwards, in ms: some of the library's tries. */
-const QUIET_MS = 800;
+/** Time after which all repeated closes of a dropped connection have taken effect, in ms. */
+const CLOSE_WAIT_MS = 1_600;
+/** Time for which no connection may arrive afterwards, in ms; the library would retry every 200 ms. */
+const OBSERVATION_MS = 800;
 
-// A relay is killed while several calls of a follower are under way on one
-// connection. The follower gives the connection up; the library went on trying
-// to open it five times a second, for as long as the process lived.
-tap.test("a connection that was given up is not tried again", async (t) => {
-  const never = () => new Promise<never>(() => undefined);
+// Guards against endless reconnects to a host that no longer exists: a relay ends
+// while a follower has several calls on one connection, the follower drops the
+// connection, and the library reopens it five times a second until the process ends.
+tap.test("a dropped connection is not reopened", async (t) => {
+  const waitForever = () => new Promise<never>(() => undefined);
   const server = await peer.startPeerServer({
     hostname: "127.0.0.1",
     port: 0,
     secrets: ["secret"],
     router: peer.buildRelayRouter({
       readAll: () => ({ kind: "unready" }),
-      pollChanges: never,
+      pollChanges: waitForever,
       report: () => ({ others: EMPTY, publishes: true }),
       getSummary: () => EMPTY,
     }),
@@ -43,19 +43,19 @@
       150,
     );
   await Promise.all([call(), call()]);
-  const under = [call(), call(), call()];
+  const pending = [call(), call(), call()];
   await server.close();
-  under.push(call(), call());
-  await Promise.all(under);
+  pending.push(call(), call());
+  await Promise.all(pending);
   await call();
   clients.close();
-  await utils.waitFor(ENDED_MS);
+  await utils.waitFor(CLOSE_WAIT_MS);
   let connections = 0;
   const listener = net.createServer((socket) => {
     connections += 1;
     socket.destroy();
   }).listen(server.port, "127.0.0.1");
-  await utils.waitFor(QUIET_MS);
+  await utils.waitFor(OBSERVATION_MS);
   t.equal(connections, 0);
   await new Promise((resolve) => listener.close(resolve));
 });
--- a/packages/peer/mod.ts
+++ b/packages/peer/mod.ts
@@ -1,4 +1,4 @@
-/** Other hosts: membership, configuration, capacity and usage between them, by tRPC. */
+/** Communication between hosts by tRPC: membership, configuration, capacity and usage. */
 export * from "./client.ts";
 export * from "./overlay.ts";
 export * from "./protocol.ts";
--- a/packages/peer/overlay.ts
+++ b/packages/peer/overlay.ts
@@ -1,24 +1,24 @@
 /**
- * The overlay of hosts: beats along the fingers of the ring, and with them
- * membership, the newest configuration, quarantine marks, withdrawn keys and
- * who holds which role. Relays, the first hosts by hash of each failure
- * domain, also beat to other failure domains.
+ * The gossip overlay of hosts. Heartbeats along the ring of a failure domain carry
+ * membership updates, the configuration revision, quarantine marks, withdrawn keys
+ * and the holders of control roles. The relays of a failure domain, which are its
+ * first hosts by hash, also send heartbeats to other failure domains.
  */
 import * as core from "@banyangrade/core";
 import * as utils from "@banyangrade/utils";
 import type * as client from "./client.ts";
 import type * as protocol from "./protocol.ts";
 
-/** Time between two beats, in ms. */
-const BEAT_MS = 1_000;
-/** Relays per failure domain. */
+/** Time between two heartbeats, in ms. */
+const HEARTBEAT_MS = 1_000;
+/** Number of relays in each failure domain. */
 export const RELAY_COUNT = 2;
-/** Beats with differing views before members are exchanged in full. */
-const DIFFERENT_VIEWS = 3;
-/** Time for which a change of roles is sent unasked, in ms. */
-const ROLES_NEWS_MS = 3_000;
-/** Most quarantine marks and withdrawn keys in one beat. */
-const MARKS_LIMIT = 32;
+/** Number of consecutive heartbeats with differing views after which the full member list is fetched. */
+const MAX_VIEW_DIFFS = 3;
+/** Time for which all roles are included in every heartbeat after a change, in ms. */
+const ROLES_UPDATE_MS = 3_000;
+/** Maximum number of quarantine marks, and of withdrawn keys, in one heartbeat. */
+const MAX_ENTRIES_PER_HEARTBEAT = 32;
 
 /** Options of {@link Overlay}. */
 export interface OverlayOptions {
@@ -30,26 +30,26 @@
   readonly random: utils.Random;
   readonly log: utils.Logger;
   readonly getRevision: () => number;
-  /** Told that another host is ahead. */
+  /** Called with the address of a host that has a newer configuration revision. */
   readonly onAhead: (address: string) => void;
   readonly onMarks: (marks: readonly core.PoisonMark[]) => void;
-  /** Told of fingerprints whose marks have all lapsed. */
+  /** Called with fingerprints for which all marks have expired. */
   readonly onCleared: (fingerprints: readonly string[]) => void;
   readonly onWithdrawn: (keyIds: readonly string[]) => void;
-  readonly beatMs?: number;
+  readonly heartbeatMs?: number;
 }
 
-/** One host's part in the overlay. */
+/** Overlay node of one host. */
 export class Overlay {
   readonly members: core.Membership;
   readonly #options: OverlayOptions;
   readonly #contacts = new Map<string, protocol.Contact>();
-  readonly #roles = new Map<string, protocol.RoleNews>();
+  readonly #roles = new Map<string, protocol.RoleUpdate>();
   readonly #marks = new core.MarkSet();
   readonly #withdrawn = new Set<string>();
-  readonly #differing = new Map<string, number>();
+  readonly #differingViews = new Map<string, number>();
   #rolesChangedAt = Number.NEGATIVE_INFINITY;
-  #turn = 0;
+  #targetTurn = 0;
   #confirmedAt = 0;
   #stop: () => void = () => undefined;
 
@@ -59,18 +59,18 @@
     this.setContacts(options.seeds);
   }
 
-  /** Starts beating, at once to every seed of the own failure domain. */
+  /** Starts to send heartbeats, the first ones immediately to all seeds of this failure domain. */
   start(): void {
-    const { beatMs = BEAT_MS } = this.#options;
-    this.#stop = utils.startInterval(beatMs, () => this.#sendBeats());
-    void this.#sendBeatsTo(this.#listHome());
+    const { heartbeatMs = HEARTBEAT_MS } = this.#options;
+    this.#stop = utils.startInterval(heartbeatMs, () => this.#sendHeartbeats());
+    void this.#sendHeartbeatsTo(this.#listLocalContacts());
   }
 
-  /** Says goodbye to the fingers and stops. */
+  /** Announces to the heartbeat targets that this host leaves, then stops. */
   async leave(): Promise<void> {
-    const fingers = this.members.listHeartbeatTargets();
+    const targets = this.members.listHeartbeatTargets();
     this.members.leave(this.#options.clock.now());
-    await this.#sendBeatsTo(fingers);
+    await this.#sendHeartbeatsTo(targets);
     this.stop();
   }
 
@@ -78,17 +78,17 @@
     this.#stop();
   }
 
-  /** Takes over hosts known from settings or the platform's list. */
+  /** Adds hosts that are known from the settings or from the platform's host list. */
   setContacts(contacts: readonly protocol.Contact[]): void {
     contacts.forEach((contact) => this.#contacts.set(contact.name, contact));
   }
 
-  /** Forgets a host that did not answer, until it is heard of again. */
+  /** Removes a host that did not answer, until a heartbeat or the host list names it again. */
   dropContact(name: string): void {
     this.#contacts.delete(name);
   }
 
-  /** Finds a host's peer address, whatever failure domain it stands in. */
+  /** Returns the peer address of a host in any failure domain. */
   findAddress(name: string): string | undefined {
     return this.members.get(name)?.address ?? this.#contacts.get(name)?.address;
   }
@@ -97,21 +97,21 @@
     return this.#confirmedAt;
   }
 
-  /** Records that the newest revision was read from the store just now. */
+  /** Records the wall-clock time at which a host read the newest revision from the store. */
   confirm(wall: number): void {
     this.#confirmedAt = Math.max(this.#confirmedAt, wall);
   }
 
-  getRole(role: string): protocol.RoleNews | undefined {
+  getRole(role: string): protocol.RoleUpdate | undefined {
     return this.#roles.get(role);
   }
 
-  listRoles(): protocol.RoleNews[] {
+  listRoles(): protocol.RoleUpdate[] {
     return [...this.#roles.values()];
   }
 
-  setRole(news: protocol.RoleNews): void {
-    this.#mergeRoles([news]);
+  setRole(update: protocol.RoleUpdate): void {
+    this.#mergeRoles([update]);
     this.spread();
   }
 
@@ -133,18 +133,21 @@
     return this.members.isRanked("relay", RELAY_COUNT);
   }
 
-  /** Beats to the fingers at once, for what must not wait for the next beat. */
+  /** Sends heartbeats to all targets immediately, for updates that must not wait for the next interval. */
   spread(): void {
     const remote = this.isRelay() ? this.listRemoteContacts() : [];
-    void this.#sendBeatsTo([...this.members.listHeartbeatTargets(), ...remote]);
+    void this.#sendHeartbeatsTo([
+      ...this.members.listHeartbeatTargets(),
+      ...remote,
+    ]);
   }
 
-  /** Lists the hosts that are relays. */
+  /** Lists the relays of this failure domain. */
   listRelays(): core.Member[] {
     return this.members.listRanked("relay", RELAY_COUNT);
   }
 
-  /** Returns one contact in each other failure domain. */
+  /** Returns one random contact in each other failure domain. */
   listRemoteContacts(): protocol.Contact[] {
     const { failureDomain, random } = this.#options;
     const remote = [...this.#contacts.values()].filter((contact) =>
@@ -154,21 +157,23 @@
       ...new Set(remote.map((contact) => contact.failureDomain)),
     ];
     return domains.map((domain) => {
-      const own = remote.filter((contact) => contact.failureDomain === domain);
-      return own[random.below(own.length)];
+      const candidates = remote.filter((contact) =>
+        contact.failureDomain === domain
+      );
+      return candidates[random.below(candidates.length)];
     });
   }
 
-  /** Answers a beat; with the roles only if the sender knows others. */
-  takeBeat(beat: protocol.Beat): protocol.Beat {
-    this.#merge(beat);
-    const answer = this.#buildBeat();
-    return beat.rolesSum === answer.rolesSum
-      ? answer
-      : { ...answer, roles: this.listRoles() };
+  /** Merges a heartbeat and returns the response, which includes all roles if the sender knows different ones. */
+  takeBeat(heartbeat: protocol.Heartbeat): protocol.Heartbeat {
+    this.#merge(heartbeat);
+    const response = this.#buildHeartbeat();
+    return heartbeat.rolesSum === response.rolesSum
+      ? response
+      : { ...response, roles: this.listRoles() };
   }
 
-  #listHome(): protocol.Contact[] {
+  #listLocalContacts(): protocol.Contact[] {
     const { self, failureDomain } = this.#options;
     return [...this.#contacts.values()].filter((contact) =>
       contact.failureDomain === failureDomain && contact.name !== self.name
@@ -176,23 +181,27 @@
   }
 
   /**
-   * Whom the regular beat goes to: the successor, which this host watches, and
-   * one finger in turn, so that its cost does not grow with the failure domain.
-   * A relay also beats to other failure domains; now and then a lost host is
-   * tried.
+   * Lists the targets of the next periodic heartbeat: the successor, whose liveness
+   * this host monitors, and one other target in rotation, so that the cost does not
+   * grow with the size of the failure domain. A relay also sends heartbeats to other
+   * failure domains. One host that has left the view, if any, is tried as well.
    */
-  #listRegular(): { readonly name: string; readonly address: string }[] {
+  #listPeriodicTargets(): {
+    readonly name: string;
+    readonly address: string;
+  }[] {
     const [successor, ...others] = this.members.listHeartbeatTargets();
-    this.#turn += 1;
-    const inTurn = others.slice(this.#turn % Math.max(1, others.length))[0];
+    this.#targetTurn += 1;
+    const nextTarget =
+      others.slice(this.#targetTurn % Math.max(1, others.length))[0];
     const remote = this.isRelay() ? this.listRemoteContacts() : [];
-    return [successor, inTurn, ...remote, ...this.#drawLost()]
+    return [successor, nextTarget, ...remote, ...this.#pickLostContact()]
       .filter((target) => target !== undefined);
   }
 
-  /** A host that left the view may be back, or on the other side of a cut. */
-  #drawLost(): protocol.Contact[] {
-    const lost = this.#listHome().filter((contact) => {
+  /** Picks a random host that has left the view: it may be running again, or a network partition that separated it may have ended. */
+  #pickLostContact(): protocol.Contact[] {
+    const lost = this.#listLocalContacts().filter((contact) => {
       const status = this.members.get(contact.name)?.status;
       return status === undefined || status === "dead" || status === "left";
     });
@@ -200,52 +209,58 @@
     return [lost[this.#options.random.below(lost.length)]];
   }
 
-  async #sendBeats(): Promise<void> {
+  async #sendHeartbeats(): Promise<void> {
     this.members.tick(this.#options.clock.now());
     this.#options.clients.closeIdle();
     const cleared = this.#marks.removeExpired(this.#options.clock.wall());
     if (cleared.length > 0) this.#options.onCleared(cleared);
-    await this.#sendBeatsTo(this.#listRegular());
+    await this.#sendHeartbeatsTo(this.#listPeriodicTargets());
   }
 
-  async #sendBeatsTo(
+  async #sendHeartbeatsTo(
     targets: readonly { readonly name: string; readonly address: string }[],
   ): Promise<void> {
-    const beat = this.#buildBeat();
-    await Promise.all(targets.map((target) => this.#sendBeat(target, beat)));
+    const heartbeat = this.#buildHeartbeat();
+    await Promise.all(
+      targets.map((target) => this.#sendHeartbeat(target, heartbeat)),
+    );
   }
 
-  async #sendBeat(
+  async #sendHeartbeat(
     target: { readonly name: string; readonly address: string },
-    beat: protocol.Beat,
+    heartbeat: protocol.Heartbeat,
   ): Promise<void> {
-    const answer = await this.#options.clients.call(
+    const response = await this.#options.clients.call(
       { address: target.address, step: "peer.beat" },
-      (peer, signal) => peer.beat.mutate(beat, { signal }),
+      (peer, signal) => peer.beat.mutate(heartbeat, { signal }),
     );
-    if (answer.err) {
+    if (response.err) {
       this.members.recordMiss(target.name, this.#options.clock.now());
       return;
     }
     this.members.recordAnswer(target.name);
-    this.#merge(answer.val);
-    await this.#compareViews(target, answer.val);
+    this.#merge(response.val);
+    await this.#compareViews(target, response.val);
   }
 
   /**
-   * Views that differ for several beats are exchanged in full; a host that is
-   * alone takes the first it gets. Never another failure domain's: its hosts
-   * would become members here, and lead roles here.
+   * Fetches the full member list if the views have differed for several consecutive
+   * heartbeats. A host without other members fetches the first list it can. Lists of
+   * other failure domains are never merged, because their hosts would become members
+   * of this failure domain and could take its roles.
    */
   async #compareViews(
     target: { readonly name: string; readonly address: string },
-    answer: protocol.Beat,
+    response: protocol.Heartbeat,
   ): Promise<void> {
-    if (answer.failureDomain !== this.#options.failureDomain) return;
-    const same = answer.view === this.members.getViewDigest();
-    const count = same ? 0 : (this.#differing.get(target.name) ?? 0) + 1;
-    this.#differing.set(target.name, count >= DIFFERENT_VIEWS ? 0 : count);
-    if (count < DIFFERENT_VIEWS && this.members.listActive().length > 1) return;
+    if (response.failureDomain !== this.#options.failureDomain) return;
+    const isSame = response.view === this.members.getViewDigest();
+    const count = isSame ? 0 : (this.#differingViews.get(target.name) ?? 0) + 1;
+    this.#differingViews.set(
+      target.name,
+      count >= MAX_VIEW_DIFFS ? 0 : count,
+    );
+    if (count < MAX_VIEW_DIFFS && this.members.listActive().length > 1) return;
     const members = await this.#options.clients.call(
       { address: target.address, step: "peer.members" },
       (peer, signal) => peer.members.query(undefined, { signal }),
@@ -253,7 +268,7 @@
     if (members.ok) this.#mergeMembers(members.val);
   }
 
-  #buildBeat(): protocol.Beat {
+  #buildHeartbeat(): protocol.Heartbeat {
     return {
       from: this.members.getSelf(),
       failureDomain: this.#options.failureDomain,
@@ -261,32 +276,33 @@
       confirmedAt: this.#confirmedAt,
       view: this.members.getViewDigest(),
       news: this.members.takeUpdates(),
-      marks: this.#marks.list().slice(-MARKS_LIMIT),
-      withdrawn: [...this.#withdrawn].slice(-MARKS_LIMIT),
+      marks: this.#marks.list().slice(-MAX_ENTRIES_PER_HEARTBEAT),
+      withdrawn: [...this.#withdrawn].slice(-MAX_ENTRIES_PER_HEARTBEAT),
       rolesSum: this.listRoles().reduce((sum, role) => sum + role.token, 0),
-      roles: this.#options.clock.now() - this.#rolesChangedAt < ROLES_NEWS_MS
+      roles: this.#options.clock.now() - this.#rolesChangedAt < ROLES_UPDATE_MS
         ? this.listRoles()
         : [],
     };
   }
 
-  #merge(beat: protocol.Beat): void {
+  #merge(heartbeat: protocol.Heartbeat): void {
     const contact = {
-      name: beat.from.name,
-      address: beat.from.address,
-      failureDomain: beat.failureDomain,
+      name: heartbeat.from.name,
+      address: heartbeat.from.address,
+      failureDomain: heartbeat.failureDomain,
     };
     this.#contacts.set(contact.name, contact);
-    if (beat.failureDomain === this.#options.failureDomain) {
-      this.#mergeMembers([beat.from, ...beat.news]);
-      this.#mergeRoles(beat.roles);
+    if (heartbeat.failureDomain === this.#options.failureDomain) {
+      this.#mergeMembers([heartbeat.from, ...heartbeat.news]);
+      this.#mergeRoles(heartbeat.roles);
     }
-    // Its caller may send a poison request to any failure domain.
-    this.#mergeMarks(beat.marks);
-    this.confirm(beat.confirmedAt);
-    this.#mergeWithdrawn(beat.withdrawn);
-    if (beat.revision > this.#options.getRevision()) {
-      this.#options.onAhead(beat.from.address);
+    // Marks are merged from all failure domains, because a caller may send a poison
+    // request to any of them.
+    this.#mergeMarks(heartbeat.marks);
+    this.confirm(heartbeat.confirmedAt);
+    this.#mergeWithdrawn(heartbeat.withdrawn);
+    if (heartbeat.revision > this.#options.getRevision()) {
+      this.#options.onAhead(heartbeat.from.address);
     }
   }
 
@@ -296,28 +312,28 @@
 
   #mergeMarks(marks: readonly core.PoisonMark[]): void {
     const wall = this.#options.clock.wall();
-    const fresh = marks.filter((mark) =>
+    const added = marks.filter((mark) =>
       mark.until > wall && this.#marks.add(mark)
     );
-    if (fresh.length === 0) return;
-    this.#options.onMarks(fresh);
+    if (added.length === 0) return;
+    this.#options.onMarks(added);
     this.spread();
   }
 
-  #mergeRoles(roles: readonly protocol.RoleNews[]): void {
-    roles.filter((news) =>
-      news.token > (this.#roles.get(news.role)?.token ?? 0)
-    ).forEach((news) => {
-      this.#roles.set(news.role, news);
+  #mergeRoles(roles: readonly protocol.RoleUpdate[]): void {
+    roles.filter((update) =>
+      update.token > (this.#roles.get(update.role)?.token ?? 0)
+    ).forEach((update) => {
+      this.#roles.set(update.role, update);
       this.#rolesChangedAt = this.#options.clock.now();
     });
   }
 
   #mergeWithdrawn(keyIds: readonly string[]): void {
-    const fresh = keyIds.filter((keyId) => !this.#withdrawn.has(keyId));
-    if (fresh.length === 0) return;
-    fresh.forEach((keyId) => this.#withdrawn.add(keyId));
-    this.#options.onWithdrawn(fresh);
+    const added = keyIds.filter((keyId) => !this.#withdrawn.has(keyId));
+    if (added.length === 0) return;
+    added.forEach((keyId) => this.#withdrawn.add(keyId));
+    this.#options.onWithdrawn(added);
     this.spread();
   }
 }
--- a/packages/peer/procedures.ts
+++ b/packages/peer/procedures.ts
@@ -1,28 +1,29 @@
-/** What all protocols between hosts have in common: who may call, and how messages are checked. */
+/** Authorisation and message checks that all protocols between hosts share. */
 import * as trpc from "@trpc/server";
 import * as z from "zod";
 
-/** Context of a call: whether the caller proved that it is a host of ours. */
+/** Context of a call; `trusted` if the caller has sent an accepted secret. */
 export interface PeerContext {
   readonly trusted: boolean;
 }
 
 const server = trpc.initTRPC.context<PeerContext>().create();
 
-/** Makes a router of procedures. */
+/** Builds a router from procedures. */
 export const buildProcedures = server.router;
 
-/** Calls by hosts that do not know the secret end here. */
+/** Base procedure, which rejects callers that have not sent an accepted secret. */
 export const procedure = server.procedure.use(({ ctx, next }) => {
   if (!ctx.trusted) throw new trpc.TRPCError({ code: "UNAUTHORIZED" });
   return next();
 });
 
 /**
- * Checks only that a message is an object: both ends are the same program.
+ * Accepts any object as a message. The fields are not checked, because both ends
+ * run the same program.
  *
  * @example
- * procedure.input(accept<Beat>()).mutation(({ input }) => takeBeat(input));
+ * procedure.input(accept<Heartbeat>()).mutation(({ input }) => takeBeat(input));
  */
 export function accept<Message>(): z.ZodType<Message> {
   return z.custom<Message>((value) =>
--- a/packages/peer/protocol.ts
+++ b/packages/peer/protocol.ts
@@ -1,80 +1,81 @@
-/** Messages between hosts and the tRPC router that carries them. */
+/** Messages between hosts, and the tRPC router that handles them. */
 import * as z from "zod";
 import type * as core from "@banyangrade/core";
 import * as procedures from "./procedures.ts";
 
 const { accept, buildProcedures, procedure } = procedures;
 
-/** Who holds a control role, as it spreads with the beats. */
-export interface RoleNews {
+/** Holder of a control role, as sent in heartbeats. */
+export interface RoleUpdate {
   readonly role: string;
   readonly host: string;
   readonly address: string;
-  /** Fencing token; the higher one is the newer holder. */
+  /** Fencing token; the record with the highest token names the current holder. */
   readonly token: number;
 }
 
-/** One beat and its answer: what a host tells another about itself and the rest. */
-export interface Beat {
+/** A heartbeat, and the response to one: state of the sender and updates about other hosts. */
+export interface Heartbeat {
   readonly from: core.Member;
   readonly failureDomain: string;
-  /** Configuration in force at the sender. */
+  /** Configuration revision in use at the sender. */
   readonly revision: number;
-  /** Wall-clock ms at which some host last read the newest revision in the store. */
+  /** Latest known wall-clock time in ms at which any host read the newest revision from the store. */
   readonly confirmedAt: number;
   /** Digest of the sender's view of its failure domain. */
   readonly view: string;
+  /** Membership updates. */
   readonly news: readonly core.Member[];
   readonly marks: readonly core.PoisonMark[];
-  /** Keys withdrawn ahead of the configuration. */
+  /** Ids of API keys that were withdrawn before the configuration that removes them. */
   readonly withdrawn: readonly string[];
-  /** Sum of the fencing tokens of all roles; differs if the views do. */
+  /** Sum of the fencing tokens of all known roles, to detect that two hosts know different holders. */
   readonly rolesSum: number;
-  /** Sent for a while after a change, and to whom the sum differs. */
-  readonly roles: readonly RoleNews[];
+  /** All known roles; sent for some time after a change, and in a response if the sums differ. */
+  readonly roles: readonly RoleUpdate[];
 }
 
-/** What a host that is behind gets. */
+/** Configuration sent to a host with an older revision. */
 export type ConfigDelta =
   | { readonly kind: "changes"; readonly changes: readonly core.ConfigChange[] }
   | { readonly kind: "snapshot"; readonly snapshot: core.ConfigSnapshot };
 
-/** A host's demand. */
+/** Demand of a host for each pool. */
 export interface DemandMessage {
   readonly host: string;
   readonly demands: readonly core.PoolDemand[];
-  /** Peer address of a host of another failure domain; absent otherwise. */
+  /** Peer address of the sender if it belongs to another failure domain; absent otherwise. */
   readonly visitor?: string;
 }
 
-/** Grants for one host. */
+/** Grants of the capacity leader for one host. */
 export interface GrantMessage {
   readonly leader: string;
-  /** Whose pools they are for. */
+  /** Failure domain of the pools. */
   readonly failureDomain: string;
   readonly grants: readonly core.Grant[];
   /** Servers lent to a host of another failure domain. */
   readonly servers: readonly core.ServerInfo[];
 }
 
-/** A host and where it stands. */
+/** A host with its peer address and failure domain. */
 export interface Contact {
   readonly name: string;
   readonly address: string;
   readonly failureDomain: string;
 }
 
-/** Usage on its way to the host that reports. */
+/** Usage batches, sent towards the host that reports usage. */
 export interface UsageMessage {
   readonly batches: readonly core.UsageBatch[];
 }
 
-/** What the collector has counted in fixed windows. */
+/** Batches that the usage collector has counted in final windows. */
 export interface UsageAnswer {
   readonly counted: core.SequenceVector;
 }
 
-/** An operation that belongs to a ticket of the receiving host. */
+/** An operation that is forwarded to the host that issued its ticket. */
 export interface TicketMessage {
   readonly ticket: string;
   readonly customer: string;
@@ -88,7 +89,7 @@
   readonly body: string;
 }
 
-/** What became of it. */
+/** Response to a forwarded ticket operation. */
 export interface TicketAnswer {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[]>>;
@@ -96,7 +97,7 @@
   readonly body: string;
 }
 
-/** One host's revision, for the publisher. */
+/** Configuration revision of one host, for the operator who publishes a change. */
 export interface HostRevision {
   readonly host: string;
   readonly failureDomain: string;
@@ -104,15 +105,15 @@
   readonly revision: number;
 }
 
-/** What a host does with the messages of others. */
+/** Handlers of a host for the messages of other hosts. */
 export interface PeerHandlers {
-  readonly takeBeat: (beat: Beat) => Beat;
+  readonly takeBeat: (heartbeat: Heartbeat) => Heartbeat;
   readonly listMembers: () => readonly core.Member[];
   readonly getDelta: (revision: number) => ConfigDelta;
   readonly takeDemand: (
     message: DemandMessage,
   ) => Promise<GrantMessage | undefined>;
-  /** One host in each other failure domain. */
+  /** Returns one host in each other failure domain. */
   readonly listRemoteContacts: () => readonly Contact[];
   readonly takeGrants: (message: GrantMessage) => void;
   readonly takeUsage: (message: UsageMessage) => UsageAnswer;
@@ -127,19 +128,19 @@
   readonly withdrawKey: (keyId: string) => void;
   readonly getStatus: () => unknown;
   readonly findRefusal: (requestId: string) => core.Refusal | null;
-  /** Starts a planned stop; answers before it is over. */
+  /** Starts a graceful shutdown; returns before it has finished. */
   readonly startDrain: () => void;
 }
 
 /**
- * Builds the router around a host's handlers.
+ * Builds the router that calls a host's handlers.
  *
  * @example
  * const router = buildRouter(handlers);
  */
 export function buildRouter(handlers: PeerHandlers) {
   return buildProcedures({
-    beat: procedure.input(accept<Beat>())
+    beat: procedure.input(accept<Heartbeat>())
       .mutation(({ input }) => handlers.takeBeat(input)),
     members: procedure.query(() => handlers.listMembers()),
     delta: procedure.input(z.number().int())
@@ -167,5 +168,5 @@
   });
 }
 
-/** The router's type, for clients. */
+/** Type of the router, for typed clients. */
 export type PeerRouter = ReturnType<typeof buildRouter>;
--- a/packages/peer/relay_protocol.ts
+++ b/packages/peer/relay_protocol.ts
@@ -1,4 +1,4 @@
-/** Messages between a relay, which follows the store, and the hosts that follow the relay. */
+/** Messages between a relay, which polls the store, and its followers, which poll the relay. */
 import * as z from "zod";
 import type * as core from "@banyangrade/core";
 import type * as store from "@banyangrade/store";
@@ -6,50 +6,50 @@
 
 const { accept, buildProcedures, procedure } = procedures;
 
-/** What a relay says of a prefix of the store. */
+/** Response of a relay to a poll for changes of a store prefix. */
 export type RelayedChanges =
   | ({ readonly kind: "changes" } & store.Changes & { readonly ageMs: number })
-  /** It no longer knows what has gone since; the prefix must be read in full. */
+  /** The relay no longer knows all removals since the revision, so the prefix must be read in full. */
   | { readonly kind: "gone" }
-  /** It has not read the prefix itself. */
+  /** The relay has no current copy of the prefix. */
   | { readonly kind: "unready" };
 
-/** A prefix in full, as a relay has it. */
+/** Response of a relay to a full read of a store prefix. */
 export type RelayedSnapshot =
   | ({ readonly kind: "snapshot" } & store.Snapshot & {
     readonly ageMs: number;
   })
   | { readonly kind: "unready" };
 
-/** What a follower asks for. */
+/** A follower's poll for changes. */
 export interface PollMessage {
   readonly prefix: string;
-  /** Revision behind which it wants changes. */
+  /** Revision after which changes are requested. */
   readonly after: number;
-  /** Longest time that the relay keeps the call, in ms. */
+  /** Maximum time for which the relay holds the call while there are no changes, in ms. */
   readonly waitMs: number;
 }
 
-/** What a relay says to a follower's word. */
+/** Response of a relay to the statuses that a follower reports. */
 export interface ReportAnswer {
-  /** What is known of all other hosts. */
+  /** Summary of all other hosts. */
   readonly others: core.HostsSummary;
-  /** Whether the relay's statuses reach the store; else the follower's own may. */
+  /** Whether the relay publishes the statuses to the store; if not, the follower publishes its own. */
   readonly publishes: boolean;
 }
 
-/** What a relay does with the calls of other hosts. */
+/** Handlers of a relay for the calls of other hosts. */
 export interface RelayHandlers {
   readonly readAll: (prefix: string) => RelayedSnapshot;
   readonly pollChanges: (message: PollMessage) => Promise<RelayedChanges>;
-  /** Takes statuses; the first one is the caller's own. */
+  /** Stores reported statuses; the first one is the caller's own. */
   readonly report: (statuses: readonly core.HostStatus[]) => ReportAnswer;
-  /** Sums up the relay's own followers, for other relays. */
+  /** Returns the summary of the relay's followers, for other relays. */
   readonly getSummary: () => core.HostsSummary;
 }
 
 /**
- * Builds the router around a relay's handlers.
+ * Builds the router that calls a relay's handlers.
  *
  * @example
  * const server = await startPeerServer({ router: buildRelayRouter(handlers), ...rest });
@@ -66,5 +66,5 @@
   });
 }
 
-/** The router's type, for clients. */
+/** Type of the router, for typed clients. */
 export type RelayRouter = ReturnType<typeof buildRelayRouter>;
--- a/packages/peer/server.ts
+++ b/packages/peer/server.ts
@@ -1,4 +1,4 @@
-/** The port on which a host answers other hosts and operators. */
+/** WebSocket server on which a host receives calls from other hosts and operators. */
 import * as http from "node:http";
 import * as https from "node:https";
 import type * as net from "node:net";
@@ -8,10 +8,10 @@
 import * as utils from "@banyangrade/utils";
 import type * as procedures from "./procedures.ts";
 
-/** Largest message in bytes: a snapshot for 1,600 customers with their keys. */
+/** Maximum message size in bytes, enough for a configuration snapshot of 1,600 customers with their keys. */
 const MAX_MESSAGE_BYTES = 8 * 1024 * 1024;
 
-/** Certificate and key, and the authority that signs all hosts' certificates. */
+/** Certificate and private key of a host, and the CA certificate that signs the certificates of all hosts. */
 export interface PeerTls {
   readonly cert: string;
   readonly key: string;
@@ -22,24 +22,24 @@
 export interface PeerServerOptions {
   readonly hostname: string;
   readonly port: number;
-  /** Secrets that are accepted: the current one, and the next or the last one during a change. */
+  /** Accepted secrets: the current one and, during a rotation, the next or the previous one. */
   readonly secrets: readonly string[];
-  /** What is served, as one of this package's protocols builds it. */
+  /** Router of the protocol to serve. */
   readonly router: trpc.AnyRouter;
-  /** Mutual TLS; plain if absent. */
+  /** Certificates for mutual TLS; absent for connections without TLS. */
   readonly tls?: PeerTls;
 }
 
-/** A running server. */
+/** A running peer server. */
 export interface PeerServer {
   readonly port: number;
-  /** Takes over a new certificate for the connections to come. */
+  /** Uses a new certificate for new connections. */
   readonly setTls: (tls: PeerTls) => void;
   readonly close: () => Promise<void>;
 }
 
 /**
- * Starts the server.
+ * Starts a peer server.
  *
  * @example
  * const server = await startPeerServer({ hostname: "127.0.0.1", port: 0, secrets, router });
--- a/packages/store/claims.ts
+++ b/packages/store/claims.ts
@@ -1,54 +1,54 @@
 /**
- * Claims on operations that may run at most once. A claim is created in the
- * store before the operation is dispatched, so of two hosts that get the same
- * idempotency key only one can dispatch it.
+ * Claims on operations that may run at most once. A claim is created in the store
+ * before the operation is dispatched, so if two hosts receive the same idempotency
+ * key, only one of them can dispatch the operation.
  */
 import * as utils from "@banyangrade/utils";
 import * as client from "./client.ts";
 
-/** How long an idempotency key is remembered, in seconds. */
+/** Time for which an idempotency key is stored, in seconds. */
 export const CLAIM_TTL_SECONDS = 86_400;
-/** A claim's lease is shared by the claims of this long, in ms. */
-const LEASE_SHARED_MS = 3_600_000;
-/** Largest answer that is kept for a caller who sends again, in bytes. */
-export const KEPT_ANSWER_BYTES = 16_384;
+/** Time for which new claims share one lease, in ms. */
+const SHARED_LEASE_USE_MS = 3_600_000;
+/** Maximum size of a response that is stored for retries of its request, in bytes. */
+export const MAX_STORED_RESPONSE_BYTES = 16_384;
 
-/** A whole answer, kept for a caller who sends again. */
+/** A complete response, stored for retries of its request. */
 export interface KeptAnswer {
   readonly status: number;
   readonly contentType: string;
   readonly body: string;
 }
 
-/** What is known of a claimed operation. */
+/** State of a claimed operation. */
 export type ClaimState =
   | { readonly kind: "claimed" }
-  /** It ran; the answer is missing if it was too large to keep. */
+  /** The operation ran. The response is absent if it was too large to store. */
   | { readonly kind: "done"; readonly answer?: KeptAnswer };
 
-/** A claim as it stands in the store. */
+/** A claim as stored. */
 export interface Claim {
   readonly state: ClaimState;
   readonly host: string;
-  /** Digest of the request, so that a key is not reused for another one. */
+  /** Digest of the request, to detect an idempotency key that is reused for a different request. */
   readonly fingerprint: string;
-  /** Unique per try. */
+  /** Unique for each attempt to claim, so that a write whose response was lost can be recognised. */
   readonly writerToken: string;
 }
 
-/** A claim this host made. */
+/** A claim that this host created. */
 export interface OwnClaim {
   readonly key: string;
   readonly claim: Claim;
   readonly modRevision: number;
 }
 
-/** What a try to claim came to. */
+/** Result of an attempt to claim an operation. */
 export type ClaimOutcome =
   | { readonly kind: "claimed"; readonly own: OwnClaim }
   | { readonly kind: "exists"; readonly claim: Claim };
 
-/** Makes and settles claims for one host. */
+/** Creates, completes and releases the claims of one host. */
 export interface ClaimKeeper {
   readonly claim: (
     operation: {
@@ -57,26 +57,26 @@
       readonly fingerprint: string;
     },
   ) => Promise<utils.Result<ClaimOutcome, utils.StepError>>;
-  /** Records that it ran, with the answer where it is small enough. */
+  /** Records that the operation ran, and stores its response unless it is too large. */
   readonly complete: (own: OwnClaim, answer?: KeptAnswer) => Promise<void>;
-  /** Takes the claim back; only for an operation that certainly did not run. */
+  /** Deletes the claim. Only allowed if the operation certainly did not run. */
   readonly release: (own: OwnClaim) => Promise<void>;
   /**
-   * Takes back claims that could not be taken back at once: those whose answer
-   * was lost, so that the operation was never dispatched, and those whose
-   * release failed. Without it their callers would be told for a day that the
+   * Retries the deletion of stale claims: claims whose creation had an unknown
+   * outcome, so that the operation was never dispatched, and claims whose release
+   * failed. Until such a claim expires after a day, its callers are told that the
    * operation may have run.
    */
   readonly tidy: () => Promise<void>;
 }
 
-/** Tries to take back one claim before it is left to lapse. */
-const TIDY_TRIES = 60;
-/** Most claims that are waiting to be taken back. */
-const TIDY_LIMIT = 10_000;
+/** Maximum attempts to delete a stale claim; after that it remains until its lease expires. */
+const MAX_CLEANUP_ATTEMPTS = 60;
+/** Maximum number of stale claims that are tracked for deletion. */
+const MAX_STALE_CLAIMS = 10_000;
 
 /**
- * Makes a claim keeper.
+ * Creates the claim keeper of a host.
  *
  * @example
  * const claims = createClaimKeeper({ store, host: "rosenheim-1", clock });
@@ -92,8 +92,12 @@
   const stale = new Map<string, StaleClaim>();
 
   function addStale(key: string, claim: Claim): void {
-    if (stale.size >= TIDY_LIMIT) return;
-    stale.set(claim.writerToken, { key, claim, tries: TIDY_TRIES });
+    if (stale.size >= MAX_STALE_CLAIMS) return;
+    stale.set(claim.writerToken, {
+      key,
+      claim,
+      remaining: MAX_CLEANUP_ATTEMPTS,
+    });
   }
 
   return {
@@ -114,15 +118,15 @@
         lease: lease.val,
       });
       if (swapped.err) addStale(key, claim);
-      return swapped.map((outcome) => readOutcome(outcome, { key, claim }));
+      return swapped.map((outcome) => parseOutcome(outcome, { key, claim }));
     },
     complete: async (own, answer) => {
-      const kept = answer && answer.body.length <= KEPT_ANSWER_BYTES
+      const stored = answer && answer.body.length <= MAX_STORED_RESPONSE_BYTES
         ? answer
         : undefined;
-      const state: ClaimState = kept === undefined
+      const state: ClaimState = stored === undefined
         ? { kind: "done" }
-        : { kind: "done", answer: kept };
+        : { kind: "done", answer: stored };
       const lease = await getLease();
       await client.swapAndConfirm(store, {
         key: own.key,
@@ -141,7 +145,9 @@
     },
     tidy: async () => {
       const entries = [...stale.values()];
-      await Promise.all(entries.map((one) => tidyOne(store, { one, stale })));
+      await Promise.all(
+        entries.map((staleClaim) => tidyClaim(store, { staleClaim, stale })),
+      );
     },
   };
 }
@@ -149,21 +155,21 @@
 interface StaleClaim {
   readonly key: string;
   readonly claim: Claim;
-  readonly tries: number;
+  readonly remaining: number;
 }
 
-/** An absent claim may still be on its way to the store, so it is looked for again. */
-async function tidyOne(
+/** Tries to delete a stale claim. A claim that is absent stays tracked, because its write may still reach the store. */
+async function tidyClaim(
   store: client.StoreClient,
-  { one, stale }: {
-    readonly one: StaleClaim;
+  { staleClaim, stale }: {
+    readonly staleClaim: StaleClaim;
     readonly stale: Map<string, StaleClaim>;
   },
 ): Promise<void> {
-  const token = one.claim.writerToken;
-  if (one.tries <= 0) return void stale.delete(token);
-  stale.set(token, { ...one, tries: one.tries - 1 });
-  const entry = await store.get(one.key);
+  const token = staleClaim.claim.writerToken;
+  if (staleClaim.remaining <= 0) return void stale.delete(token);
+  stale.set(token, { ...staleClaim, remaining: staleClaim.remaining - 1 });
+  const entry = await store.get(staleClaim.key);
   if (entry.err || entry.val === undefined) return;
   const found = JSON.parse(entry.val.value) as Claim;
   if (found.writerToken !== token || found.state.kind !== "claimed") {
@@ -183,7 +189,7 @@
   return `banyangrade/claims/${digest}`;
 }
 
-function readOutcome(
+function parseOutcome(
   outcome: client.SwapOutcome,
   { key, claim }: { readonly key: string; readonly claim: Claim },
 ): ClaimOutcome {
@@ -194,27 +200,28 @@
     };
   }
   const found = outcome.current;
-  // A claim that vanished between the two steps was released: still not ours.
+  // A claim that is absent after the failed comparison was released in the
+  // meantime; this host does not hold it.
   return {
     kind: "exists",
     claim: found === undefined ? claim : JSON.parse(found.value) as Claim,
   };
 }
 
-/** One lease for all claims of an hour: a lease each would double the writes. */
+/** Shares one lease between all claims of an hour, because one lease per claim would double the writes. */
 function createSharedLease(
   store: client.StoreClient,
   clock: utils.Clock,
 ): () => Promise<utils.Result<string, utils.StepError>> {
-  let current:
+  let shared:
     | { readonly lease: utils.Result<string, utils.StepError>; until: number }
     | undefined;
   return async () => {
-    if (current !== undefined && clock.now() < current.until) {
-      return current.lease;
+    if (shared !== undefined && clock.now() < shared.until) {
+      return shared.lease;
     }
     const lease = await store.grantLease(CLAIM_TTL_SECONDS);
-    if (lease.ok) current = { lease, until: clock.now() + LEASE_SHARED_MS };
+    if (lease.ok) shared = { lease, until: clock.now() + SHARED_LEASE_USE_MS };
     return lease;
   };
 }
--- a/packages/store/client.ts
+++ b/packages/store/client.ts
@@ -1,7 +1,7 @@
 /**
- * Client of the key-value service. Every call ends in a result; a write whose
- * answer was lost is `unknown_outcome`, never a plain failure, since the write
- * may have taken effect.
+ * Client of the key-value store. Every call returns a result. A write whose
+ * response was lost fails with `unknown_outcome`, because the store may have
+ * applied it.
  */
 import * as undici from "undici";
 import * as utils from "@banyangrade/utils";
@@ -9,30 +9,30 @@
 
 const PEER = "store";
 
-/** A value with the revision of its last change. */
+/** A key and its value, with the revision of the last change. */
 export interface StoreEntry {
   readonly key: string;
   readonly value: string;
   readonly modRevision: number;
 }
 
-/** How a compare-and-swap ended. */
+/** Result of a compare-and-swap: the new revision, or the entry that made it fail. */
 export type SwapOutcome =
   | { readonly kind: "won"; readonly modRevision: number }
   | { readonly kind: "lost"; readonly current: StoreEntry | undefined };
 
-/** What a watch reports. */
+/** An event of a watch. */
 export type WatchEvent =
   | { readonly kind: "opened" }
   | { readonly kind: "put"; readonly entry: StoreEntry }
   | { readonly kind: "deleted"; readonly key: string }
   | { readonly kind: "ended"; readonly reason: string };
 
-/** A compare-and-swap: `expected` is the entry's revision, 0 for "absent". */
+/** A compare-and-swap. `expected` is the revision that the entry must have, 0 if it must be absent. */
 export interface Swap {
   readonly key: string;
   readonly expected: number;
-  /** Undefined deletes the key. */
+  /** New value; undefined deletes the key. */
   readonly value: string | undefined;
   readonly lease?: string;
 }
@@ -40,11 +40,11 @@
 /** Options of {@link createStoreClient}. */
 export interface StoreClientOptions {
   readonly url: string;
-  /** Time after which a call's outcome is unknown, in ms. @default 1000 */
+  /** Time after which a call fails with `unknown_outcome`, in ms. @default 1000 */
   readonly timeoutMs?: number;
 }
 
-/** Reads, writes under a condition and leases: all that holding a role takes. */
+/** Reads, compare-and-swap writes and leases: the calls that a lease holder needs. */
 export interface KeyValueClient {
   readonly get: (
     key: string,
@@ -59,7 +59,7 @@
   readonly grantLease: (
     ttlSeconds: number,
   ) => Promise<utils.Result<string, utils.StepError>>;
-  /** Renews a lease; false if it has lapsed. */
+  /** Renews a lease; returns false if it has expired. */
   readonly renewLease: (
     id: string,
   ) => Promise<utils.Result<boolean, utils.StepError>>;
@@ -69,9 +69,9 @@
   readonly close: () => Promise<void>;
 }
 
-/** The calls of the key-value service with a watch that streams changes. */
+/** The calls of the key-value store, including a watch that streams changes. */
 export interface StoreClient extends KeyValueClient {
-  /** Watches a prefix; returns a function that ends the watch. */
+  /** Watches a prefix; returns a function that stops the watch. */
   readonly watch: (
     prefix: string,
     onEvent: (event: WatchEvent) => void,
@@ -79,7 +79,7 @@
 }
 
 /**
- * Makes a client. It keeps a few connections open and never retries by itself.
+ * Creates a client. It uses a pool of connections and does not retry calls.
  *
  * @example
  * const store = createStoreClient({ url: "http://127.0.0.1:2379" });
@@ -95,38 +95,39 @@
 
   return {
     get: async (key) => {
-      const answer = await call<wire.RangeAnswer>("range", {
+      const response = await call<wire.RangeResponse>("range", {
         key: wire.encodeText(key),
       });
-      return answer.map((range) => range.kvs?.map(toEntry)[0]);
+      return response.map((range) => range.kvs?.map(toEntry)[0]);
     },
     list: async (prefix, { after, limit } = {}) => {
-      const answer = await call<wire.RangeAnswer>("range", {
+      const response = await call<wire.RangeResponse>("range", {
         key: wire.encodeText(after === undefined ? prefix : `${after}\0`),
         range_end: wire.encodeText(wire.getRangeEnd(prefix)),
         limit: String(limit ?? 0),
       });
-      return answer.map((range) => (range.kvs ?? []).map(toEntry));
+      return response.map((range) => (range.kvs ?? []).map(toEntry));
     },
     swap: async (swap) => {
-      const answer = await call<wire.TxnAnswer>("txn", buildTxn(swap));
-      return answer.map(readSwapOutcome);
+      const response = await call<wire.TxnResponse>("txn", buildTxn(swap));
+      return response.map(parseSwapOutcome);
     },
     grantLease: async (ttlSeconds) => {
-      const answer = await call<wire.LeaseAnswer>("grant", {
+      const response = await call<wire.LeaseResponse>("grant", {
         TTL: String(ttlSeconds),
       });
-      return answer.map((lease) => lease.ID ?? "");
+      return response.map((lease) => lease.ID ?? "");
     },
     renewLease: async (id) => {
-      const answer = await call<{ result?: wire.LeaseAnswer }>("keepalive", {
-        ID: id,
-      });
-      return answer.map((lease) => Number(lease.result?.TTL ?? 0) > 0);
+      const response = await call<{ result?: wire.LeaseResponse }>(
+        "keepalive",
+        { ID: id },
+      );
+      return response.map((lease) => Number(lease.result?.TTL ?? 0) > 0);
     },
     revokeLease: async (id) => {
-      const answer = await call<unknown>("revoke", { ID: id });
-      return answer.map(() => undefined);
+      const response = await call<unknown>("revoke", { ID: id });
+      return response.map(() => undefined);
     },
     watch: (prefix, onEvent) => startWatch(pool, { prefix, onEvent }),
     close: () => pool.destroy(),
@@ -141,27 +142,27 @@
   revoke: "/v3/lease/revoke",
 } as const;
 
-type Call = <Answer>(
+type Call = <ResponseBody>(
   name: keyof typeof PATHS,
   body: object,
-) => Promise<utils.Result<Answer, utils.StepError>>;
+) => Promise<utils.Result<ResponseBody, utils.StepError>>;
 
 function createCaller(pool: undici.Pool, timeoutMs: number): Call {
-  return async <Answer>(name: keyof typeof PATHS, body: object) => {
+  return async <ResponseBody>(name: keyof typeof PATHS, body: object) => {
     const step = `store.${name}`;
     try {
-      const answer = await pool.request({
+      const response = await pool.request({
         method: "POST",
         path: PATHS[name],
         headers: { "content-type": "application/json" },
         body: JSON.stringify(body),
         signal: AbortSignal.timeout(timeoutMs),
       });
-      const text = await answer.body.text();
-      if (answer.statusCode === 200) {
-        return utils.Ok(JSON.parse(text) as Answer);
+      const text = await response.body.text();
+      if (response.statusCode === 200) {
+        return utils.Ok(JSON.parse(text) as ResponseBody);
       }
-      return utils.Err(buildStatusError(step, answer.statusCode));
+      return utils.Err(buildStatusError(step, response.statusCode));
     } catch (thrown) {
       return utils.Err(buildThrownError(step, thrown));
     }
@@ -177,7 +178,7 @@
   });
 }
 
-/** Only a refused connection proves that nothing was sent. */
+/** Only a refused connection proves that the request was not sent. */
 function buildThrownError(step: string, thrown: unknown): utils.StepError {
   const refused = (thrown as { code?: string }).code === "ECONNREFUSED";
   return utils.createStepError(refused ? "unreachable" : "unknown_outcome", {
@@ -216,22 +217,23 @@
   };
 }
 
-function readSwapOutcome(answer: wire.TxnAnswer): SwapOutcome {
-  if (answer.succeeded === true) {
-    return { kind: "won", modRevision: Number(answer.header?.revision ?? 0) };
+function parseSwapOutcome(response: wire.TxnResponse): SwapOutcome {
+  if (response.succeeded === true) {
+    return { kind: "won", modRevision: Number(response.header?.revision ?? 0) };
   }
-  const current = answer.responses?.[0]?.response_range?.kvs?.map(toEntry)[0];
+  const current = response.responses?.[0]?.response_range?.kvs?.map(toEntry)[0];
   return { kind: "lost", current };
 }
 
-/** Further tries of a write whose answer was lost. */
-const CONFIRM_TRIES = 2;
+/** Maximum number of retries of a write whose response was lost. */
+const MAX_CONFIRM_RETRIES = 2;
 
 /**
- * Swaps and, where the answer was lost, swaps again with the same value. The
- * value carries a token that only this writer uses, so losing the second time
- * against that very value means that the first write took effect. Without
- * that, a claim that was made would be reported as failed.
+ * Runs a compare-and-swap and, if its response was lost, repeats it with the same
+ * value. The value contains a token that only this writer uses. If a retry fails
+ * because the key already holds this value, the earlier write has taken effect
+ * and the swap counts as won. Without this check, a claim that was stored would be
+ * reported as failed.
  *
  * @example
  * const outcome = await swapAndConfirm(store, { key, expected: 0, value });
@@ -241,14 +243,14 @@
   swap: Swap,
 ): Promise<utils.Result<SwapOutcome, utils.StepError>> {
   let outcome = await store.swap(swap);
-  for (let retry = 0; retry < CONFIRM_TRIES; retry += 1) {
+  for (let retry = 0; retry < MAX_CONFIRM_RETRIES; retry += 1) {
     if (outcome.ok || outcome.val.code !== "unknown_outcome") break;
     outcome = await store.swap(swap);
   }
-  return outcome.map((swapped) => recogniseOwn(swapped, swap));
+  return outcome.map((swapped) => recogniseOwnWrite(swapped, swap));
 }
 
-function recogniseOwn(swapped: SwapOutcome, swap: Swap): SwapOutcome {
+function recogniseOwnWrite(swapped: SwapOutcome, swap: Swap): SwapOutcome {
   const current = swapped.kind === "lost" ? swapped.current : undefined;
   if (current === undefined || current.value !== swap.value) return swapped;
   return { kind: "won", modRevision: current.modRevision };
@@ -273,7 +275,7 @@
   pool: undici.Pool,
   options: WatchOptions & { readonly signal: AbortSignal },
 ): Promise<void> {
-  const answer = await pool.request({
+  const response = await pool.request({
     method: "POST",
     path: "/v3/watch",
     headers: { "content-type": "application/json" },
@@ -288,16 +290,18 @@
     bodyTimeout: 0,
   });
   let rest = "";
-  for await (const chunk of answer.body) {
+  for await (const chunk of response.body) {
     const lines = (rest + String(chunk)).split("\n");
     rest = lines.pop() ?? "";
     lines.filter((line) => line !== "").forEach((line) =>
-      readWatchLine(JSON.parse(line) as wire.WatchLine).forEach(options.onEvent)
+      parseWatchLine(JSON.parse(line) as wire.WatchLine).forEach(
+        options.onEvent,
+      )
     );
   }
 }
 
-function readWatchLine(line: wire.WatchLine): WatchEvent[] {
+function parseWatchLine(line: wire.WatchLine): WatchEvent[] {
   if (line.result?.created === true) return [{ kind: "opened" }];
   return (line.result?.events ?? []).map((event) =>
     event.type === "DELETE"
--- a/packages/store/config_store.ts
+++ b/packages/store/config_store.ts
@@ -1,23 +1,24 @@
 /**
- * The configuration log in the store. `config/log/<revision>` holds one change
- * each and is only ever created, so the create decides a race. From time to
- * time a snapshot is written and older records are dropped.
+ * The configuration log in the store. Each key `config/log/<revision>` holds one
+ * change and is created only if it is absent, so of two concurrent writers of one
+ * revision exactly one succeeds. The log is compacted regularly: a snapshot is
+ * written and older records are deleted.
  */
 import * as core from "@banyangrade/core";
 import * as utils from "@banyangrade/utils";
 import * as client from "./client.ts";
 
 const LOG_PREFIX = "banyangrade/config/log/";
-const BASE_KEY = "banyangrade/config/base";
+const SNAPSHOT_POINTER_KEY = "banyangrade/config/base";
 const SNAPSHOT_PREFIX = "banyangrade/config/snapshot/";
 
-/** Changes between two snapshots. */
+/** Number of changes between two snapshots. */
 export const SNAPSHOT_EVERY = 256;
-/** Largest piece of a snapshot in bytes; the store's values end at 1 MB. */
-const PIECE_BYTES = 500_000;
+/** Maximum size of a snapshot piece in bytes; the store limits a value to 1 MB. */
+const MAX_PIECE_BYTES = 500_000;
 
-/** Points at the newest snapshot. */
-interface Base {
+/** Stored reference to the newest snapshot. */
+interface SnapshotPointer {
   readonly revision: number;
   readonly pieces: number;
 }
@@ -26,16 +27,17 @@
   return LOG_PREFIX + String(revision).padStart(12, "0");
 }
 
-/** What was read of the log. */
+/** A configuration that was read from the store. */
 export interface ReadConfiguration {
   readonly configuration: core.Configuration;
-  /** The last changes that led to it, as far as the log still holds them. */
+  /** The changes read from the log that lead to this configuration; older ones may have been deleted. */
   readonly changes: readonly core.ConfigChange[];
 }
 
 /**
- * Reads the newest configuration from the store: what is missing behind
- * `known`, or the snapshot first if the log no longer reaches back that far.
+ * Reads the newest configuration from the store: only the changes after `known`
+ * or, if the log no longer contains all of them, the snapshot and the changes
+ * after it.
  *
  * @example
  * const read = await readConfiguration(store, core.EMPTY_CONFIGURATION);
@@ -44,16 +46,16 @@
   store: client.StoreClient,
   known: core.Configuration,
 ): Promise<utils.Result<ReadConfiguration, utils.StepError>> {
-  const behind = await readChanges(store, known);
-  if (behind.err) return behind;
-  if (behind.val.kind === "complete") return utils.Ok(behind.val);
-  const base = await readBase(store);
-  if (base.err) return base;
-  const again = await readChanges(store, base.val);
-  if (again.err) return again;
-  // Never go back: a snapshot older than what is known is of no use.
-  return again.val.configuration.revision > known.revision
-    ? again
+  const newer = await readChanges(store, known);
+  if (newer.err) return newer;
+  if (newer.val.kind === "complete") return utils.Ok(newer.val);
+  const snapshot = await readSnapshot(store);
+  if (snapshot.err) return snapshot;
+  const reread = await readChanges(store, snapshot.val);
+  if (reread.err) return reread;
+  // The revision must never decrease, so a snapshot older than `known` is ignored.
+  return reread.val.configuration.revision > known.revision
+    ? reread
     : utils.Ok({ configuration: known, changes: [] });
 }
 
@@ -76,7 +78,8 @@
     if (next.ok) configuration = next.val;
     return next.ok;
   });
-  // An empty list behind revision 0 may also mean that all of it was dropped.
+  // An empty list after revision 0 can also mean that the whole log was deleted
+  // by a compaction.
   const kind = applied && (known.revision > 0 || changes.length > 0)
     ? "complete"
     : "gap";
@@ -84,7 +87,7 @@
 }
 
 /**
- * Parses a record of the log.
+ * Parses the value of a log record.
  *
  * @example
  * const change = parseChange(entry.value);
@@ -93,35 +96,37 @@
   return JSON.parse(value) as core.ConfigChange;
 }
 
-async function readBase(
+async function readSnapshot(
   store: client.StoreClient,
 ): Promise<utils.Result<core.Configuration, utils.StepError>> {
-  const entry = await store.get(BASE_KEY);
+  const entry = await store.get(SNAPSHOT_POINTER_KEY);
   if (entry.err) return entry;
   if (entry.val === undefined) return utils.Ok(core.EMPTY_CONFIGURATION);
-  const base = JSON.parse(entry.val.value) as Base;
+  const base = JSON.parse(entry.val.value) as SnapshotPointer;
   const pieces = await store.list(`${SNAPSHOT_PREFIX}${base.revision}/`);
   if (pieces.err) return pieces;
-  // In parts, but applied as a whole or not at all.
+  // A snapshot is stored in pieces but applied only as a whole.
   if (pieces.val.length !== base.pieces) {
     return utils.Err(utils.createStepError("conflict", {
       step: "store.readSnapshot",
       peer: "store",
-      message: `Snapshot ${base.revision} is incomplete; it was replaced.`,
+      message:
+        `Snapshot ${base.revision} is incomplete because a newer one replaced it; read the configuration again.`,
     }));
   }
   const text = pieces.val.map((piece) => piece.value).join("");
   return utils.Ok(core.loadSnapshot(JSON.parse(text) as core.ConfigSnapshot));
 }
 
-/** What a publication came to. */
+/** Result of {@link commitChange}. */
 export type CommitOutcome =
   | { readonly kind: "committed"; readonly change: core.ConfigChange }
   | { readonly kind: "overtaken"; readonly by: core.ConfigChange };
 
 /**
- * Commits a change behind `configuration`. Of two operators who race one is
- * `overtaken` and told by whom.
+ * Commits a change as the next revision after `configuration`. If another
+ * operator has committed this revision first, the result is `overtaken` and
+ * contains that operator's change.
  *
  * @example
  * const outcome = await commitChange(store, { configuration, difference, author });
@@ -154,24 +159,27 @@
     return utils.Err(utils.createStepError("conflict", {
       step: "store.commit",
       peer: "store",
-      message: "The record was dropped; read the configuration again.",
+      message:
+        "The record of this revision was deleted during the commit; read the configuration again.",
     }));
   }
   return utils.Ok({ kind: "overtaken", by: parseChange(current.value) });
 }
 
 /**
- * A writer that slept through a compaction creates a record again that was
- * dropped; no host would ever apply it. The snapshot's revision shows that, so
- * the writer takes its record back instead of reporting success.
+ * Checks that a created record was not already covered by a snapshot. A writer
+ * that was suspended during a compaction can create a record whose revision had
+ * been compacted and deleted; no host would ever apply it. The revision of the
+ * snapshot shows this, so the writer deletes its record and reports a conflict
+ * instead of success.
  */
 async function confirmCommit(
   store: client.StoreClient,
   change: core.ConfigChange,
 ): Promise<utils.Result<CommitOutcome, utils.StepError>> {
-  const entry = await store.get(BASE_KEY);
+  const entry = await store.get(SNAPSHOT_POINTER_KEY);
   if (entry.err) return entry;
-  const base = entry.val && JSON.parse(entry.val.value) as Base;
+  const base = entry.val && JSON.parse(entry.val.value) as SnapshotPointer;
   if (base === undefined || base.revision < change.revision) {
     return utils.Ok({ kind: "committed", change });
   }
@@ -187,21 +195,23 @@
   return utils.Err(utils.createStepError("conflict", {
     step: "store.commit",
     peer: "store",
-    message: `Revision ${change.revision} is long past; read again.`,
+    message:
+      `Revision ${change.revision} is already compacted, so it is unknown whether the change was committed; read the configuration again.`,
   }));
 }
 
 /** Options of {@link compactLog}. */
 export interface CompactOptions {
-  /** Changes between two snapshots. @default SNAPSHOT_EVERY */
+  /** Number of changes between two snapshots. @default SNAPSHOT_EVERY */
   readonly every?: number;
 }
 
 /**
- * Writes a snapshot and drops the log behind it, if enough changes have come.
- * Safe to repeat and to break off: the base moves only to complete snapshots
- * and only forward, and one snapshot's worth of log is kept for those who are
- * reading.
+ * Writes a snapshot once enough changes have been committed since the last one,
+ * and deletes the log up to the previous snapshot. Returns whether a snapshot was
+ * written. The call can be repeated and can fail at any step: the pointer moves
+ * only forward and only to a complete snapshot, and the changes between the last
+ * two snapshots are kept for hosts that are reading the log.
  *
  * @example
  * await compactLog(store, configuration);
@@ -211,9 +221,9 @@
   configuration: core.Configuration,
   { every = SNAPSHOT_EVERY }: CompactOptions = {},
 ): Promise<utils.Result<boolean, utils.StepError>> {
-  const entry = await store.get(BASE_KEY);
+  const entry = await store.get(SNAPSHOT_POINTER_KEY);
   if (entry.err) return entry;
-  const base = entry.val && JSON.parse(entry.val.value) as Base;
+  const base = entry.val && JSON.parse(entry.val.value) as SnapshotPointer;
   if (configuration.revision - (base?.revision ?? 0) < every) {
     return utils.Ok(false);
   }
@@ -229,7 +239,7 @@
     if (written.err) return written;
   }
   const moved = await client.swapAndConfirm(store, {
-    key: BASE_KEY,
+    key: SNAPSHOT_POINTER_KEY,
     expected: entry.val?.modRevision ?? 0,
     value: JSON.stringify({
       revision: configuration.revision,
@@ -238,33 +248,34 @@
   });
   if (moved.err) return moved;
   if (moved.val.kind === "won" && base !== undefined) {
-    await dropBefore(store, base);
+    await dropCompacted(store, base);
   }
   return utils.Ok(moved.val.kind === "won");
 }
 
 function splitText(text: string): string[] {
-  const count = Math.ceil(text.length / PIECE_BYTES);
+  const count = Math.ceil(text.length / MAX_PIECE_BYTES);
   return Array.from(
     { length: count },
-    (_, index) => text.slice(index * PIECE_BYTES, (index + 1) * PIECE_BYTES),
+    (_, index) =>
+      text.slice(index * MAX_PIECE_BYTES, (index + 1) * MAX_PIECE_BYTES),
   );
 }
 
-/** Drops the log up to the snapshot before the newest, and that snapshot. */
-async function dropBefore(
+/** Deletes the previous snapshot and the log up to its revision. */
+async function dropCompacted(
   store: client.StoreClient,
-  base: Base,
+  previous: SnapshotPointer,
 ): Promise<void> {
   const log = await store.list(LOG_PREFIX);
-  const pieces = await store.list(`${SNAPSHOT_PREFIX}${base.revision}/`);
-  const old = [
+  const pieces = await store.list(`${SNAPSHOT_PREFIX}${previous.revision}/`);
+  const compacted = [
     ...(log.ok ? log.val : []).filter((entry) =>
-      entry.key <= getLogKey(base.revision)
+      entry.key <= getLogKey(previous.revision)
     ),
     ...(pieces.ok ? pieces.val : []),
   ];
-  for (const entry of old) {
+  for (const entry of compacted) {
     await store.swap({
       key: entry.key,
       expected: entry.modRevision,
@@ -274,8 +285,8 @@
 }
 
 /**
- * Watches the log. Events may be missed while a watch is opened again, so the
- * caller reads the log after each `opened`.
+ * Watches the log. Events can be missed while a watch reconnects, so the caller
+ * must read the log after each `opened` event.
  *
  * @example
  * const stop = watchLog(store, (event) => mailbox.send(event));
--- a/packages/store/config_store_fuzz_test.ts
+++ b/packages/store/config_store_fuzz_test.ts
@@ -1,4 +1,4 @@
-/** Fuzzing of the configuration log: racing operators, compaction, lost answers. */
+/** Fuzz test of the configuration log: concurrent operators, compaction and lost responses. */
 import * as fc from "fast-check";
 import * as tap from "tap";
 import * as core from "@banyangrade/core";
@@ -7,13 +7,13 @@
 
 const RUNS = Number(process.env.FUZZ_RUNS ?? 150);
 const SEED = Number(process.env.FUZZ_SEED ?? 20_261_203);
-/** Two operators and two hosts that read. */
+/** Number of actors: two operators that publish and two hosts that read. */
 const ACTORS = 4;
 
 type Step =
   | simTesting.WorldStep
   | { readonly kind: "publish"; readonly actor: number }
-  /** Publishes several times with every call answered. */
+  /** Publishes several changes; all calls are answered. */
   | { readonly kind: "publish_many"; readonly actor: number }
   | { readonly kind: "read"; readonly actor: number }
   | { readonly kind: "restart"; readonly actor: number };
@@ -114,7 +114,7 @@
     const { change } = outcome.val;
     simTesting.assertHolds(
       !this.committed.has(change.revision),
-      "two operators were told that they committed one revision",
+      "two operators were told that they committed the same revision",
     );
     this.committed.set(change.revision, name);
     const next = core.applyChange(configuration, change).unwrap();
@@ -129,12 +129,12 @@
     const { configuration } = read.val;
     simTesting.assertHolds(
       configuration.revision >= before.revision,
-      "a revision went back",
+      "the revision of a host decreased",
     );
     const digest = this.digests.get(configuration.revision);
     simTesting.assertHolds(
       digest === undefined || digest === configuration.digest,
-      "one revision with two contents",
+      "a revision has two different contents",
     );
     this.digests.set(configuration.revision, configuration.digest);
     this.known[actor] = configuration;
@@ -148,16 +148,19 @@
     this.committed.forEach((name, at) => {
       simTesting.assertHolds(
         services.has(name),
-        `revision ${at} was committed and is gone at ${revision}`,
+        `revision ${at} was committed but is missing at ${revision}`,
       );
     });
     this.overtaken.forEach((name) =>
-      simTesting.assertHolds(!services.has(name), "an overtaken change counts")
+      simTesting.assertHolds(
+        !services.has(name),
+        "an overtaken change was applied",
+      )
     );
   }
 }
 
-tap.t.test("an accepted configuration never reverts", async (t) => {
+tap.t.test("a committed configuration change is never lost", async (t) => {
   let committed = 0;
   await fc.assert(
     fc.asyncProperty(
@@ -178,12 +181,12 @@
 });
 
 tap.t.test(
-  "an operator who slept through a compaction is not told of success",
+  "an operator suspended during a compaction is not told that its change was committed",
   async (t) => {
-    // An operator reads "committed", but no host ever has the change. It read
-    // the configuration and was stopped; a colleague published so often that
-    // the log was compacted; then it created its record, whose place was free
-    // again because the colleague's had been dropped.
+    // Guards against a change that is reported as committed but that no host ever
+    // applies: the operator is suspended after it has read the configuration, another
+    // operator publishes until the log is compacted, and the first operator then
+    // creates its record under a key that the compaction has deleted.
     const harness = new Harness();
     const steps: Step[] = [
       { kind: "publish", actor: 0 },
@@ -199,6 +202,6 @@
     ];
     for (const next of steps) await harness.run(next);
     await harness.settle();
-    t.equal(harness.committed.size, 12, "only the colleague's changes");
+    t.equal(harness.committed.size, 12, "only the other operator's changes");
   },
 );
--- a/packages/store/fake.ts
+++ b/packages/store/fake.ts
@@ -1,7 +1,7 @@
 /**
- * Stand-in for the key-value service: enough of the etcd v3 JSON gateway for
- * this project, with its faults switched on by a typed value. Each listener is
- * one failure domain's way to it and can be cut by itself.
+ * Fake key-value store: the calls of the etcd v3 JSON gateway that this project
+ * uses, with faults that tests can inject. Each listener is the endpoint of one
+ * failure domain and can be disconnected separately.
  */
 import * as http from "node:http";
 import type * as net from "node:net";
@@ -9,34 +9,34 @@
 import * as kvState from "./kv_state.ts";
 import * as wire from "./wire.ts";
 
-/** What is wrong with the store. */
+/** Fault that the fake store injects. */
 export type StoreFault =
   | { readonly kind: "none" }
   | { readonly kind: "down" }
   | { readonly kind: "slow"; readonly ms: number }
-  /** The next `count` writes take effect, but their answers are lost. */
+  /** The next `count` writes take effect, but their responses are lost. */
   | { readonly kind: "lose_answers"; readonly count: number };
 
 /** Options of {@link startFakeStore}. */
 export interface FakeStoreOptions {
-  /** @default 0, a free port */
+  /** Port of the first listener. @default 0, a free port */
   readonly port?: number;
-  /** Most writes per second; beyond it the store answers 429. @default no bound */
+  /** Maximum number of writes per second; the store answers further writes with status 429. @default no limit */
   readonly writesPerSecond?: number;
-  /** @default no bound */
+  /** Maximum number of reads per second, as for writes. @default no limit */
   readonly readsPerSecond?: number;
 }
 
-/** A running stand-in. */
+/** A running fake store. */
 export interface FakeStore {
   readonly url: string;
   readonly setFault: (fault: StoreFault) => void;
-  /** Cuts or heals the way from one listener. */
+  /** Disconnects or reconnects one listener. */
   readonly setCut: (url: string, cut: boolean) => void;
-  /** Opens a further way in. */
+  /** Opens another listener and returns its URL. */
   readonly openListener: (port?: number) => Promise<string>;
   readonly count: () => { readonly reads: number; readonly writes: number };
-  /** Reads a value as it stands. */
+  /** Returns the current value of a key without a call. */
   readonly peek: (key: string) => string | undefined;
   readonly list: (prefix: string) => [string, string][];
   readonly close: () => Promise<void>;
@@ -52,7 +52,7 @@
 class State {
   readonly kv = new kvState.KvState((change) => notify(this, change));
   readonly watchers = new Set<Watcher>();
-  readonly cut = new Set<string>();
+  readonly disconnected = new Set<string>();
   readonly servers: http.Server[] = [];
   reads = 0;
   writes = 0;
@@ -61,7 +61,7 @@
 }
 
 /**
- * Starts the stand-in on loopback.
+ * Starts the fake store on the loopback interface.
  *
  * @example
  * const store = await startFakeStore({});
@@ -71,8 +71,8 @@
   options: FakeStoreOptions,
 ): Promise<FakeStore> {
   const state = new State();
-  const sweep = setInterval(() => state.kv.expire(Date.now()), 50);
-  sweep.unref();
+  const expiryTimer = setInterval(() => state.kv.expire(Date.now()), 50);
+  expiryTimer.unref();
   const openListener = (port = 0) => listen(state, { port, options });
   const url = await openListener(options.port);
   return {
@@ -83,8 +83,8 @@
       if (fault.kind === "down") endWatches(state, () => true);
     },
     setCut: (listener, cut) => {
-      if (!cut) return void state.cut.delete(listener);
-      state.cut.add(listener);
+      if (!cut) return void state.disconnected.delete(listener);
+      state.disconnected.add(listener);
       endWatches(state, (watcher) => watcher.listener === listener);
     },
     count: () => ({ reads: state.reads, writes: state.writes }),
@@ -93,7 +93,7 @@
       state.kv.list(prefix, wire.getRangeEnd(prefix))
         .map((pair) => [pair.key, pair.value]),
     close: async () => {
-      clearInterval(sweep);
+      clearInterval(expiryTimer);
       await Promise.all(state.servers.map(closeServer));
     },
   };
@@ -111,7 +111,13 @@
   const server = http.createServer((request, answer) => {
     const listener = `http://127.0.0.1:${request.socket.localPort}`;
     readBody(request).then((body) =>
-      serve(state, { path: request.url ?? "", body, answer, listener, options })
+      serve(state, {
+        path: request.url ?? "",
+        body,
+        answer,
+        listener,
+        options,
+      })
     ).catch(() => answer.destroy());
   });
   state.servers.push(server);
@@ -137,7 +143,9 @@
 
 async function serve(state: State, exchange: Exchange): Promise<void> {
   const { answer } = exchange;
-  if (state.fault.kind === "down" || state.cut.has(exchange.listener)) {
+  if (
+    state.fault.kind === "down" || state.disconnected.has(exchange.listener)
+  ) {
     answer.destroy();
     return;
   }
@@ -186,7 +194,7 @@
 
 function run(
   state: State,
-  // deno-lint-ignore no-explicit-any -- bodies of many shapes, checked by the client's types
+  // deno-lint-ignore no-explicit-any -- request bodies have several types, which the client checks
   { path, body }: { path: string; body: any },
 ): object | undefined {
   state.kv.expire(Date.now());
@@ -221,7 +229,7 @@
   };
 }
 
-function runRange(state: State, body: wire.RangeRequest): wire.RangeAnswer {
+function runRange(state: State, body: wire.RangeRequest): wire.RangeResponse {
   const from = wire.decodeText(body.key);
   const header = { revision: String(state.kv.revision) };
   if (body.range_end === undefined) {
@@ -237,11 +245,11 @@
   };
 }
 
-function runTxn(state: State, body: wire.TxnRequest): wire.TxnAnswer {
+function runTxn(state: State, body: wire.TxnRequest): wire.TxnResponse {
   const succeeded = body.compare.every((compare) =>
     state.kv.isAt(wire.decodeText(compare.key), Number(compare.mod_revision))
   );
-  if (succeeded) body.success.forEach((step) => runWrite(state, step));
+  if (succeeded) body.success.forEach((step) => applyWrite(state, step));
   return {
     header: { revision: String(state.kv.revision) },
     succeeded,
@@ -251,7 +259,7 @@
   };
 }
 
-function runWrite(state: State, step: wire.TxnRequest["success"][0]): void {
+function applyWrite(state: State, step: wire.TxnRequest["success"][0]): void {
   const { request_put: put, request_delete_range: removal } = step;
   if (put !== undefined) {
     const value = wire.decodeText(put.value);
@@ -261,12 +269,12 @@
 }
 
 function notify(state: State, change: kvState.KvChange): void {
-  const name = change.pair.key;
+  const key = change.pair.key;
   const type = change.kind === "put" ? "PUT" : "DELETE";
   const event = { type, kv: toWire(change.pair) };
   const line = JSON.stringify({ result: { events: [event] } }) + "\n";
   state.watchers.forEach((watcher) => {
-    if (name >= watcher.from && name < watcher.to) watcher.answer.write(line);
+    if (key >= watcher.from && key < watcher.to) watcher.answer.write(line);
   });
 }
 
--- a/packages/store/feed.ts
+++ b/packages/store/feed.ts
@@ -1,9 +1,8 @@
 /**
- * Follows one prefix of a store whose watch is a long poll: reads it in full,
- * then asks again and again for what has changed. Each answer proves that what
- * is believed was current when the call was sent; a call that does not come
- * back proves nothing, so a watch that was lost without notice cannot pass for
- * a quiet one.
+ * Follows one prefix of a store whose watch is a long poll: reads the prefix in
+ * full, then polls for changes. Each response proves that the local copy was
+ * current when the call was sent. A call without a response proves nothing, so a
+ * watch that is lost silently cannot be mistaken for one without changes.
  */
 import * as utils from "@banyangrade/utils";
 import type * as client from "./client.ts";
@@ -13,13 +12,14 @@
   readonly entries: readonly client.StoreEntry[];
   readonly revision: number;
   /**
-   * How long before the call was taken the read was sent that proves them
-   * current, in ms; negative if that was later. @default 0
+   * Age of the data in ms: time from the sending of the read that proves it
+   * current until the server received this call; negative if the read was sent
+   * later. @default 0
    */
   readonly ageMs?: number;
 }
 
-/** One change. */
+/** A change of one entry. */
 export type Change =
   | { readonly kind: "put"; readonly entry: client.StoreEntry }
   | {
@@ -28,24 +28,24 @@
     readonly modRevision: number;
   };
 
-/** What has changed since a revision. */
+/** The changes after a revision. */
 export interface Changes {
   readonly changes: readonly Change[];
-  /** The revision to go on from. */
+  /** Revision from which the next poll continues. */
   readonly revision: number;
-  /** As in {@link Snapshot}. @default 0 */
+  /** Age of the data as in {@link Snapshot}, in ms. @default 0 */
   readonly ageMs?: number;
 }
 
-/** The calls that following a prefix takes. */
+/** The calls that are needed to follow a prefix. */
 export interface FeedClient {
   /** Reads a prefix in full, never from a stale copy. */
   readonly readAll: (
     prefix: string,
   ) => Promise<utils.Result<Snapshot, utils.StepError>>;
   /**
-   * Waits for changes behind a revision. The error `not_found` says that the
-   * history is no longer kept and the prefix must be read in full.
+   * Waits for changes after a revision. The error `not_found` means that the
+   * history since then has been deleted, so the prefix must be read in full.
    */
   readonly pollChanges: (
     prefix: string,
@@ -53,12 +53,12 @@
   ) => Promise<utils.Result<Changes, utils.StepError>>;
 }
 
-/** What the follower is told. */
+/** An event of {@link watchPrefix}. */
 export type FeedEvent =
   | {
     readonly kind: "replaced";
     readonly entries: readonly client.StoreEntry[];
-    /** The store's revision as of which these are all entries. */
+    /** Revision of the store at which the entries were read. */
     readonly revision: number;
     readonly sentAt: number;
   }
@@ -75,24 +75,24 @@
   readonly feed: FeedClient;
   readonly clock: utils.Clock;
   readonly prefix: string;
-  /** Longest time that one poll waits for a change, in ms. */
+  /** Maximum time that one poll waits for a change, in ms. */
   readonly waitMs: number;
   /**
-   * Pause after an answer with changes, in ms. Changes come in groups, such as
-   * the servers of a failure domain that leave together; without it each of
-   * them costs every host a call.
+   * Returns the delay in ms after a response with changes. Changes come in groups,
+   * such as all servers of a failure domain that leave together. Without the delay,
+   * each change would cost every host a call.
    */
   readonly getSettleMs: () => number;
   readonly onEvent: (event: FeedEvent) => void;
 }
 
-/** First pause after a call that failed, in ms; doubles up to {@link RETRY_MAX_MS}. */
-const RETRY_MS = 50;
-/** Longest pause between calls to a store that does not answer, in ms: a tenth of the time within which a change must be in force. */
-const RETRY_MAX_MS = 200;
+/** Delay after the first failed call, in ms; doubles up to {@link MAX_RETRY_DELAY_MS}. */
+const MIN_RETRY_DELAY_MS = 50;
+/** Maximum delay between calls to an unavailable store, in ms: a tenth of the time within which a change must be applied. */
+const MAX_RETRY_DELAY_MS = 200;
 
 /**
- * Starts following a prefix; returns a function that stops it.
+ * Starts to follow a prefix; returns a function that stops it.
  *
  * @example
  * const stop = watchPrefix({ feed, clock, prefix: "servers/", waitMs: 1000, getSettleMs: () => 100, onEvent });
@@ -123,9 +123,9 @@
       return undefined;
     }
     const { changes, revision, ageMs = 0 } = polled.val;
-    // An empty answer does not move the revision: a store that was about to
-    // drop its history may have passed over changes, which the next poll then
-    // brings, or says that they are no longer kept.
+    // An empty response does not advance the revision. A store that is about to
+    // delete its history may have skipped changes; the next poll from the same
+    // revision returns them or fails with `not_found`.
     if (changes.length > 0) after = Math.max(since, revision);
     onEvent({ kind: "changed", changes, revision, sentAt: sentAt - ageMs });
     if (changes.length > 0) await utils.waitFor(options.getSettleMs());
@@ -141,9 +141,9 @@
       }
       if (stopped) return;
       onEvent({ kind: "failed", error });
-      const pause = RETRY_MS * 2 ** failures;
-      failures += pause < RETRY_MAX_MS ? 1 : 0;
-      await utils.waitFor(Math.min(RETRY_MAX_MS, pause));
+      const delay = MIN_RETRY_DELAY_MS * 2 ** failures;
+      failures += delay < MAX_RETRY_DELAY_MS ? 1 : 0;
+      await utils.waitFor(Math.min(MAX_RETRY_DELAY_MS, delay));
     }
   }
 
--- a/packages/store/kv_state.ts
+++ b/packages/store/kv_state.ts
@@ -1,19 +1,20 @@
 /**
- * The key-value service's state for the stand-ins: compare-and-swap, leases
- * and revisions as etcd defines them, without a clock or a socket.
+ * In-memory state of the key-value store for the fake and the simulated store:
+ * compare-and-swap, leases and revisions with the semantics of etcd, without a
+ * clock or a socket.
  */
 
-/** A stored pair. */
+/** A stored key-value pair. */
 export interface KvPair {
   readonly key: string;
   readonly value: string;
   readonly createRevision: number;
   readonly modRevision: number;
-  /** "0" without a lease. */
+  /** Id of the lease; "0" without a lease. */
   readonly lease: string;
 }
 
-/** A change that watchers are told of. */
+/** A change that is sent to watchers. */
 export type KvChange =
   | { readonly kind: "put"; readonly pair: KvPair }
   | { readonly kind: "delete"; readonly pair: KvPair };
@@ -23,7 +24,7 @@
   expiresAt: number;
 }
 
-/** All pairs and leases. */
+/** All key-value pairs and leases of a store. */
 export class KvState {
   readonly #pairs = new Map<string, KvPair>();
   readonly #leases = new Map<string, Lease>();
@@ -39,14 +40,14 @@
     return this.#pairs.get(key);
   }
 
-  /** Lists the pairs with keys in [`from`, `to`), in order. */
+  /** Lists the pairs with keys in [`from`, `to`), sorted by key. */
   list(from: string, to: string): KvPair[] {
     return [...this.#pairs.values()]
       .filter((pair) => pair.key >= from && pair.key < to)
       .toSorted((a, b) => a.key < b.key ? -1 : 1);
   }
 
-  /** Whether the key's last change has this revision; 0 means absent. */
+  /** Whether the key was last changed at this revision; 0 means that it is absent. */
   isAt(key: string, revision: number): boolean {
     return (this.#pairs.get(key)?.modRevision ?? 0) === revision;
   }
@@ -86,7 +87,7 @@
     return id;
   }
 
-  /** Renews a lease; returns its length, 0 if it has lapsed. */
+  /** Renews a lease; returns its time to live in ms, 0 if it has expired. */
   renewLease(id: string, now: number): number {
     const lease = this.#leases.get(id);
     if (lease === undefined) return 0;
@@ -100,7 +101,7 @@
       .forEach((pair) => this.remove(pair.key));
   }
 
-  /** Drops the leases that have lapsed, and their pairs. */
+  /** Removes expired leases and their pairs. */
   expire(now: number): void {
     [...this.#leases].filter(([, lease]) => lease.expiresAt <= now)
       .forEach(([id]) => this.revokeLease(id));
--- a/packages/store/lease_holder.ts
+++ b/packages/store/lease_holder.ts
@@ -1,22 +1,22 @@
-/** Holds one control role by a lease in the store, as long as it may. */
+/** Acquires and renews the lease of one control role in the store. */
 import * as core from "@banyangrade/core";
 import * as utils from "@banyangrade/utils";
 import * as client from "./client.ts";
 
-/** Who holds a role, as written in the store. */
+/** The holder of a role, as stored. */
 export interface RoleRecord {
   readonly host: string;
   readonly incarnation: string;
-  /** Unique per try, so that a lost answer can be recognised. */
+  /** Unique for each attempt, so that a write whose response was lost can be recognised. */
   readonly writerToken: string;
-  /** Where other hosts reach it, if they have reason to. */
+  /** How other hosts reach the holder; absent for roles that are not called. */
   readonly contact?: RoleContact;
 }
 
-/** How the holder of a role is reached. */
+/** Address and secret with which the holder of a role is called. */
 export interface RoleContact {
   readonly address: string;
-  /** Proves to it that the caller reads the same store. */
+  /** Proves to the holder that the caller reads the same store. */
   readonly secret: string;
 }
 
@@ -25,41 +25,42 @@
   readonly store: client.KeyValueClient;
   readonly clock: utils.Clock;
   readonly log: utils.Logger;
-  /** For example `orders/rosenheim`. */
+  /** Name of the role, such as `orders/rosenheim`. */
   readonly role: string;
   readonly host: string;
   readonly incarnation: string;
   readonly terms: core.LeaseTerms;
-  /** Longest time a predecessor's order can be under way, in ms. */
+  /** Longest time in ms for which an order of the previous holder can be in flight. */
   readonly flightMs: number;
-  /** Whether this host should try for the role; few should, each try is a call. */
+  /** Whether this host tries to acquire the role. Few hosts should, because each attempt calls the store. */
   readonly isCandidate: () => boolean;
   /**
-   * Time to wait in ms before a role that nobody holds is tried for. Hosts that
-   * start together would all try at once, with four calls each for one winner.
+   * Delay in ms before an attempt to acquire a free role. Without it, hosts that
+   * start at the same time would all try at once, with four calls each, although
+   * only one can succeed.
    * @default 0
    */
   readonly getPauseMs?: () => number;
-  /** Told when the role is won or lost. */
+  /** Called when this host acquires or loses the role. */
   readonly onChange: (lease: core.LeaseState) => void;
-  /** How this host is reached as the holder. */
+  /** How other hosts reach this host while it holds the role. */
   readonly contact?: RoleContact;
-  /** Told of another holder that was found in its place. */
+  /** Called with the holder if another host holds the role. */
   readonly onOther?: (record: RoleRecord) => void;
 }
 
-/** A role that is being held or tried for. */
+/** A role that this host holds or tries to acquire. */
 export interface LeaseHolder {
-  /** The lease as believed now; ask at the moment of acting. */
+  /** Returns the local state of the lease. Call it immediately before each action that needs the role. */
   readonly getLease: () => core.LeaseState;
-  /** Resolves once it has been looked up for the first time who holds the role. */
+  /** Resolves after the first lookup of the role's holder. */
   readonly looked: Promise<void>;
-  /** Gives the role back, so that a successor need not wait for the lease's end. */
+  /** Revokes the lease, so that the next holder need not wait until it expires. */
   readonly release: () => Promise<void>;
 }
 
 /**
- * Starts trying for a role.
+ * Starts to acquire a role and to renew its lease.
  *
  * @example
  * const holder = startLeaseHolder({ store, role: "orders/rosenheim", ...rest });
@@ -67,30 +68,30 @@
  */
 export function startLeaseHolder(options: LeaseHolderOptions): LeaseHolder {
   let lease: core.LeaseState = { kind: "none" };
-  let lapsed: core.LeaseState = { kind: "none" };
+  let renewable: core.LeaseState = { kind: "none" };
   let released = false;
-  let markLooked = () => {};
+  let markLookedUp = () => {};
   const looked = new Promise<void>((resolve) => {
-    markLooked = resolve;
+    markLookedUp = resolve;
   });
 
   function setLease(next: core.LeaseState): void {
     const changed = next.kind !== lease.kind;
     lease = next;
     if (!changed) return;
-    const verb = next.kind === "held" ? "won" : "lost";
-    options.log.info({ role: options.role }, `Role ${verb}.`);
+    const event = next.kind === "held" ? "acquired" : "lost";
+    options.log.info({ role: options.role }, `Role ${event}.`);
     options.onChange(next);
   }
 
-  async function work(): Promise<void> {
-    const before = lease.kind === "held" ? lease : lapsed;
+  async function advance(): Promise<void> {
+    const before = lease.kind === "held" ? lease : renewable;
     const next = await advanceLease(before, {
       ...options,
-      onPause: markLooked,
+      onAttemptDelay: markLookedUp,
     });
-    markLooked();
-    lapsed = next.kind === "held" ? next : { kind: "none" };
+    markLookedUp();
+    renewable = next.kind === "held" ? next : { kind: "none" };
     if (!released && !core.isLeaseHeld(next, options.clock.now())) {
       setLease({ kind: "none" });
     } else if (!released) setLease(next);
@@ -99,8 +100,8 @@
     }
   }
 
-  const stop = utils.startInterval(options.terms.ttlMs / 4, work);
-  const first = setTimeout(() => void work(), 0);
+  const stop = utils.startInterval(options.terms.ttlMs / 4, advance);
+  const first = setTimeout(() => void advance(), 0);
   return {
     getLease: () => lease,
     looked,
@@ -115,18 +116,18 @@
   };
 }
 
-/** What one step towards a lease needs. */
+/** Options of {@link advanceLease}. */
 export interface AdvanceOptions
   extends Omit<LeaseHolderOptions, "log" | "onChange"> {
-  /** Told that nobody holds the role and a pause begins. */
-  readonly onPause?: () => void;
+  /** Called when the role is free and the delay before the attempt begins. */
+  readonly onAttemptDelay?: () => void;
 }
 
 /**
- * Takes one step: renews the lease if it is held, else tries for it. A lease
- * that has ended by this host's own count is renewed too, as long as the store
- * does not say that it is gone: a store that was away may have stopped its own
- * count, and the role would stay empty until that lease ended there.
+ * Renews the lease if it is held, otherwise tries to acquire it. A lease that has
+ * expired by this host's clock is renewed as well, unless the store reports that it
+ * is gone: a store that was unavailable may have paused the lease's countdown, and
+ * the role would have no holder until the lease expired in the store.
  *
  * @example
  * lease = await advanceLease(lease, options);
@@ -148,7 +149,8 @@
   if (renewed.ok && renewed.val) {
     return core.recordRenewed(lease, { sentAt, terms: options.terms });
   }
-  // No answer says nothing of the lease: whoever asks sees when it ends.
+  // A failed call does not show that the lease is gone. Its expiry time is
+  // unchanged, and callers check it before they act.
   return renewed.ok ? { kind: "none" } : lease;
 }
 
@@ -159,7 +161,7 @@
   const { sentAt, current } = await readRole(key, options);
   if (current.err) return { kind: "none" };
   const holder = parseRole(current.val);
-  if (current.val !== undefined && !isOwnPast(holder, options)) {
+  if (current.val !== undefined && !isOwnPreviousProcess(holder, options)) {
     if (holder !== undefined) options.onOther?.(holder);
     return { kind: "none" };
   }
@@ -201,7 +203,7 @@
 }
 
 interface ReadRole {
-  /** When the read was sent. */
+  /** Time at which the read was sent. */
   readonly sentAt: number;
   readonly current: utils.Result<
     client.StoreEntry | undefined,
@@ -209,7 +211,7 @@
   >;
 }
 
-/** Reads who holds a role; where nobody does, once more after a pause. */
+/** Reads the holder of a role. If the role is free, reads it again after the configured delay. */
 async function readRole(
   key: string,
   options: AdvanceOptions,
@@ -220,18 +222,19 @@
   });
   const first = await read();
   const isFree = first.current.ok && first.current.val === undefined;
-  const pauseMs = isFree ? options.getPauseMs?.() ?? 0 : 0;
-  if (pauseMs === 0) return first;
-  options.onPause?.();
-  await utils.waitFor(pauseMs);
+  const delayMs = isFree ? options.getPauseMs?.() ?? 0 : 0;
+  if (delayMs === 0) return first;
+  options.onAttemptDelay?.();
+  await utils.waitFor(delayMs);
   return await read();
 }
 
 /**
- * Whether a role is held by this host's earlier process, which has ended: its
- * lease would keep the role empty, for longer still if the store was away.
+ * Whether the role is held by an earlier process of this host. That process has
+ * ended, and its lease would leave the role without an active holder until it
+ * expires, even longer if the store was unavailable.
  */
-function isOwnPast(
+function isOwnPreviousProcess(
   holder: RoleRecord | undefined,
   { host, incarnation }: AdvanceOptions,
 ): boolean {
@@ -239,7 +242,7 @@
 }
 
 /**
- * Returns the key that names the holder of a role.
+ * Returns the store key of a role's holder.
  *
  * @example
  * getRoleKey("orders/rosenheim"); // "banyangrade/roles/orders/rosenheim"
--- a/packages/store/lease_holder_test.ts
+++ b/packages/store/lease_holder_test.ts
@@ -1,4 +1,4 @@
-/** Who may take a role over, and when. */
+/** Tests which host may acquire a role, and when. */
 import * as tapModule from "tap";
 import * as core from "@banyangrade/core";
 import * as utils from "@banyangrade/utils";
@@ -10,7 +10,7 @@
 
 const TERMS = { ttlMs: 3_000, marginMs: 400 };
 
-/** Takes one step towards the role in a process of a host. */
+/** Renews or tries to acquire the role for a process of a host. */
 function advance(
   storeClient: client.KeyValueClient,
   { host, incarnation, lease = { kind: "none" } }: {
@@ -31,8 +31,9 @@
   });
 }
 
-// Guards against a role that nobody does until the lease of a process that has died runs out.
-tap.test("a host that starts again takes its own role over", async (t) => {
+// Guards against a role without an active holder: the process that held it ends
+// without releasing it, and the restarted host waits until its old lease expires.
+tap.test("a restarted host acquires the role of its previous process", async (t) => {
   const store = await fake.startFakeStore({});
   const storeClient = client.createStoreClient({ url: store.url });
   t.teardown(async () => {
@@ -42,7 +43,7 @@
   const first = await advance(storeClient, { host: "a", incarnation: "1" });
   t.equal(first.kind, "held");
   const other = await advance(storeClient, { host: "b", incarnation: "1" });
-  t.equal(other.kind, "none", "another host waits for the lease to end");
+  t.equal(other.kind, "none", "another host waits until the lease expires");
   const second = await advance(storeClient, { host: "a", incarnation: "2" });
   t.match(second, { kind: "held" });
   t.ok(
@@ -52,25 +53,26 @@
   );
   if (first.kind === "held") await storeClient.revokeLease(first.leaseId);
   const late = await advance(storeClient, { host: "b", incarnation: "1" });
-  t.equal(late.kind, "none", "the end of the old lease does not end the role");
+  t.equal(late.kind, "none", "revoking the old lease does not free the role");
   t.end();
 });
 
-interface Gate {
+interface Deferred {
   readonly promise: Promise<void>;
   readonly resolve: () => void;
 }
 
-function openGate(): Gate {
+function createDeferred(): Deferred {
   let resolve = () => {};
-  const promise = new Promise<void>((pass) => {
-    resolve = pass;
+  const promise = new Promise<void>((done) => {
+    resolve = done;
   });
   return { promise, resolve };
 }
 
-// Guards against a storm of calls as all hosts start: each tried to take the role, and one won.
-tap.test("hosts that start together do not all try for a role", async (t) => {
+// Guards against a burst of calls to the store when all hosts start at once: each
+// host finds the role free and requests a lease, although only one can win.
+tap.test("hosts that start at once do not all try to acquire a role", async (t) => {
   const store = await fake.startFakeStore({});
   const storeClient = client.createStoreClient({ url: store.url });
   t.teardown(async () => {
@@ -78,8 +80,8 @@
     await store.close();
   });
   let granted = 0;
-  const found: string[] = [];
-  const startTry = (
+  const foundHolders: string[] = [];
+  const startAttempt = (
     index: number,
     get: client.KeyValueClient["get"],
   ): Promise<core.LeaseState> =>
@@ -100,15 +102,16 @@
       flightMs: 0,
       isCandidate: () => true,
       getPauseMs: () => 1,
-      onOther: ({ host }) => found.push(host),
+      onOther: ({ host }) => foundHolders.push(host),
     });
-  // All others have seen that nobody holds it before the one with the shortest pause tries.
-  const reads = Array.from({ length: 32 }, () => openGate());
-  const winning = openGate();
+  // The host with the shortest delay tries to acquire the role only after all other
+  // hosts have read that it is free.
+  const reads = Array.from({ length: 32 }, () => createDeferred());
+  const acquired = createDeferred();
   const others = reads.map((firstRead, index) => {
     let isFirst = true;
-    return startTry(index + 1, async (key) => {
-      if (!isFirst) await winning.promise;
+    return startAttempt(index + 1, async (key) => {
+      if (!isFirst) await acquired.promise;
       isFirst = false;
       const current = await storeClient.get(key);
       firstRead.resolve();
@@ -116,12 +119,16 @@
     });
   });
   await Promise.all(reads.map(({ promise }) => promise));
-  const winner = await startTry(0, storeClient.get);
-  winning.resolve();
+  const winner = await startAttempt(0, storeClient.get);
+  acquired.resolve();
   t.equal(winner.kind, "held");
   const leases = await Promise.all(others);
   t.ok(leases.every(({ kind }) => kind === "none"));
   t.equal(granted, 1);
-  t.equal(found.length, 32, "the others know it at once");
+  t.equal(
+    foundHolders.length,
+    32,
+    "the other hosts learn of the holder at once",
+  );
   t.end();
 });
--- a/packages/store/mod.ts
+++ b/packages/store/mod.ts
@@ -1,4 +1,4 @@
-/** The platform's key-value service, met through the etcd v3 JSON gateway. */
+/** Client of the key-value store through the etcd v3 JSON gateway, with the leases, claims and logs kept in it. */
 export * from "./claims.ts";
 export * from "./client.ts";
 export * from "./config_store.ts";
--- a/packages/store/prefix_cache.ts
+++ b/packages/store/prefix_cache.ts
@@ -1,12 +1,12 @@
 /**
- * A copy of one prefix of the store, from which other hosts are answered. It
- * knows up to which moment it is proved current, and what has gone since its
- * last full read, so whoever follows it learns of removals too.
+ * A copy of one prefix of the store, from which a relay serves other hosts. It
+ * records the time at which the copy was last known to be current and the entries
+ * removed since the last full read, so that followers also learn of removals.
  */
 import type * as client from "./client.ts";
 import type * as feed from "./feed.ts";
 
-/** Removals that are remembered; who is further behind reads in full. */
+/** Maximum number of removals that are kept; a follower that needs older ones must read in full. */
 const MAX_REMOVALS = 1_000;
 
 interface Removal {
@@ -14,31 +14,31 @@
   readonly modRevision: number;
 }
 
-/** A copy of a prefix. */
+/** A copy of one prefix of the store. */
 export class PrefixCache {
   readonly #entries = new Map<string, client.StoreEntry>();
   #removals: readonly Removal[] = [];
-  /** Revision behind which every removal is known. */
-  #from = Number.POSITIVE_INFINITY;
+  /** Revision after which all removals are known. */
+  #removalsKnownAfter = Number.POSITIVE_INFINITY;
   #revision = 0;
   #provedAt = Number.NEGATIVE_INFINITY;
 
-  /** Moment at which the read was sent that proved it current; -Infinity before the first. */
+  /** Time at which the newest read that proves the copy current was sent; -Infinity before the first read. */
   get provedAt(): number {
     return this.#provedAt;
   }
 
-  /** Takes over a full read that was sent at `sentAt`. */
+  /** Replaces the copy with the result of a full read that was sent at `sentAt`. */
   setAll(snapshot: feed.Snapshot, sentAt: number): void {
     this.#entries.clear();
     snapshot.entries.forEach((entry) => this.#entries.set(entry.key, entry));
     this.#removals = [];
-    this.#from = snapshot.revision;
+    this.#removalsKnownAfter = snapshot.revision;
     this.#revision = snapshot.revision;
     this.#provedAt = Math.max(this.#provedAt, sentAt);
   }
 
-  /** Takes over changes that were asked for at `sentAt`. */
+  /** Applies the changes returned by a poll that was sent at `sentAt`. */
   apply(changes: feed.Changes, sentAt: number): void {
     changes.changes.forEach((change) => this.#applyChange(change));
     if (changes.changes.length > 0) {
@@ -47,19 +47,19 @@
     this.#provedAt = Math.max(this.#provedAt, sentAt);
   }
 
-  /** All entries. */
+  /** Returns all entries. */
   read(): feed.Snapshot {
     return { entries: [...this.#entries.values()], revision: this.#revision };
   }
 
-  /** What has changed behind a revision; undefined if that is no longer known. */
+  /** Returns the changes after a revision; undefined if removals since then may have been discarded. */
   listSince(after: number): feed.Changes | undefined {
-    if (after < this.#from) return undefined;
+    if (after < this.#removalsKnownAfter) return undefined;
     const puts = [...this.#entries.values()]
       .filter((entry) => entry.modRevision > after)
       .map((entry): feed.Change => ({ kind: "put", entry }));
     const removals = this.#removals
-      // One that was written again since has not gone.
+      // A key that was written again after its removal exists.
       .filter(({ key, modRevision }) =>
         modRevision > after && !this.#entries.has(key)
       )
@@ -67,7 +67,7 @@
     return { changes: [...puts, ...removals], revision: this.#revision };
   }
 
-  /** An entry that was read in full may be newer than a change that arrives later. */
+  /** Applies a change unless the entry, for example from a later full read, is already newer. */
   #applyChange(change: feed.Change): void {
     switch (change.kind) {
       case "put": {
@@ -88,10 +88,13 @@
 
   #recordRemoval(removal: Removal): void {
     const all = [...this.#removals, removal];
-    const dropped = all.slice(0, -MAX_REMOVALS);
+    const discarded = all.slice(0, -MAX_REMOVALS);
     this.#removals = all.slice(-MAX_REMOVALS);
-    dropped.forEach(({ modRevision }) => {
-      this.#from = Math.max(this.#from, modRevision);
+    discarded.forEach(({ modRevision }) => {
+      this.#removalsKnownAfter = Math.max(
+        this.#removalsKnownAfter,
+        modRevision,
+      );
     });
   }
 }
--- a/packages/store/prefix_cache_test.ts
+++ b/packages/store/prefix_cache_test.ts
@@ -1,4 +1,4 @@
-/** A copy of a prefix answers like the store would, or says that it cannot. */
+/** Tests that a prefix cache returns what the store would return, or reports that it cannot. */
 import * as fc from "fast-check";
 import * as tapModule from "tap";
 import type * as client from "./client.ts";
@@ -11,7 +11,7 @@
   return { key, modRevision, value: `${key} at ${modRevision}` };
 }
 
-/** What a follower holds after changes were applied to what it held before. */
+/** Returns a follower's entries after changes are applied to them. */
 function applyAll(
   held: ReadonlyMap<string, client.StoreEntry>,
   changes: readonly feed.Change[],
@@ -24,10 +24,10 @@
   return next;
 }
 
-// A server leaves while its relay reads the list in full. A follower that asks
-// for what has changed since before that read must not be told "nothing": the
-// server would stay in use at that host alone.
-tap.test("removals before a full read are not known", (t) => {
+// Guards against a removed server that stays in use at one host: the server leaves
+// while the relay reads the list in full, and a follower that polls from a revision
+// before that read is told that nothing has changed.
+tap.test("changes from before a full read are reported as unknown", (t) => {
   const cache = new prefixCache.PrefixCache();
   cache.setAll({ entries: [buildEntry("a", 1)], revision: 5 }, 0);
   cache.setAll({ entries: [], revision: 9 }, 10);
@@ -36,7 +36,7 @@
   t.end();
 });
 
-tap.test("a proof only grows, and the first read makes one", (t) => {
+tap.test("the time of the last proof never decreases, and the first read sets it", (t) => {
   const cache = new prefixCache.PrefixCache();
   t.equal(cache.provedAt, Number.NEGATIVE_INFINITY);
   cache.setAll({ entries: [], revision: 1 }, 100);
@@ -45,7 +45,7 @@
   t.end();
 });
 
-tap.test("more removals than are kept are not forgotten in silence", (t) => {
+tap.test("changes are reported as unknown if removals were discarded", (t) => {
   const cache = new prefixCache.PrefixCache();
   cache.setAll({ entries: [], revision: 0 }, 0);
   Array.from({ length: 1_200 }, (_, index) => index + 1).forEach((revision) =>
@@ -63,9 +63,9 @@
   t.end();
 });
 
-// The oracle is a plain map that sees every change. A follower asks the copy at
-// any time, from any revision that it has reached, and must hold the same.
-tap.test("whoever follows the copy holds what the store holds", (t) => {
+// The oracle is a plain map that receives every change. A follower polls the cache
+// at arbitrary times from its last revision and must hold the same entries.
+tap.test("a follower of the cache holds the same entries as the store", (t) => {
   const step = fc.record({
     key: fc.constantFrom("a", "b", "c"),
     kind: fc.constantFrom("put", "delete", "reread", "ask"),
@@ -74,37 +74,39 @@
     fc.property(fc.array(step, { maxLength: 60 }), (steps) => {
       const cache = new prefixCache.PrefixCache();
       cache.setAll({ entries: [], revision: 0 }, 0);
-      let truth = new Map<string, client.StoreEntry>();
+      let expected = new Map<string, client.StoreEntry>();
       let held = new Map<string, client.StoreEntry>();
-      let [revision, reached] = [0, 0];
+      let [revision, followerRevision] = [0, 0];
       steps.forEach(({ key, kind }) => {
         if (kind === "ask") {
-          const since = cache.listSince(reached);
+          const since = cache.listSince(followerRevision);
           held = since === undefined
             ? new Map(cache.read().entries.map((entry) => [entry.key, entry]))
             : applyAll(held, since.changes);
-          reached = cache.read().revision;
+          followerRevision = cache.read().revision;
           if (
             JSON.stringify([...held].sort()) !==
-              JSON.stringify([...truth].sort())
+              JSON.stringify([...expected].sort())
           ) {
-            throw new Error(`differs at revision ${revision}`);
+            throw new Error(
+              `the follower's entries differ from the store's at revision ${revision}`,
+            );
           }
           return;
         }
         if (kind === "reread") {
-          return cache.setAll({ entries: [...truth.values()], revision }, 0);
+          return cache.setAll({ entries: [...expected.values()], revision }, 0);
         }
         revision += 1;
         const change: feed.Change = kind === "put"
           ? { kind: "put", entry: buildEntry(key, revision) }
           : { kind: "deleted", key, modRevision: revision };
-        truth = applyAll(truth, [change]);
+        expected = applyAll(expected, [change]);
         cache.apply({ changes: [change], revision }, 0);
       });
     }),
     { seed: 7, numRuns: Number(process.env.FUZZ_RUNS ?? 500) },
   );
-  t.pass("held alike");
+  t.pass("all entries were equal");
   t.end();
 });
--- a/packages/store/sim.ts
+++ b/packages/store/sim.ts
@@ -1,38 +1,39 @@
 /**
- * The store in virtual time for fuzzing: calls wait until the test delivers
- * them, in whatever order and with whatever is lost.
+ * Simulated store in virtual time for fuzz tests. Calls stay pending until the
+ * test delivers them; the test decides their order and which calls or responses
+ * are lost.
  */
 import * as utils from "@banyangrade/utils";
 import type * as client from "./client.ts";
 import * as kvState from "./kv_state.ts";
 import * as wire from "./wire.ts";
 
-/** What becomes of a call. */
+/** Outcome that the test chooses for a call. */
 export type CallFate =
-  /** It takes effect and is answered. */
+  /** The call takes effect and its response arrives. */
   | "answered"
-  /** It takes effect, but the answer is lost. */
+  /** The call takes effect, but its response is lost. */
   | "answer_lost"
-  /** It never arrives. */
+  /** The call never reaches the store. */
   | "lost"
-  /** It is given up now and takes effect later. */
+  /** The caller gets no response now, and the call takes effect later. */
   | "delayed";
 
 interface PendingCall {
   readonly host: string;
-  /** Takes effect and returns the answer. */
+  /** Applies the call to the state and returns the response. */
   readonly apply: () => unknown;
   readonly resolve: (result: utils.Result<unknown, utils.StepError>) => void;
 }
 
-/** A store shared by simulated hosts. */
+/** Simulated store that several simulated hosts share. */
 export class SimStore {
   readonly kv = new kvState.KvState();
   readonly #now: () => number;
   readonly #pending: PendingCall[] = [];
   readonly #delayed: PendingCall[] = [];
-  readonly #held = new Map<string, (() => void)[]>();
-  /** Hosts whose calls fail at once. */
+  readonly #heldResponses = new Map<string, (() => void)[]>();
+  /** Hosts whose calls are refused immediately. */
   readonly unreachable = new Set<string>();
 
   constructor(now: () => number) {
@@ -43,53 +44,54 @@
     return this.#pending.length;
   }
 
-  /** Decides the fate of the call at `pick`, modulo how many there are. */
+  /** Ends the pending call at index `pick`, modulo the number of pending calls, with the given outcome. */
   deliver(pick: number, fate: CallFate): void {
     if (this.#pending.length === 0) return;
     const [call] = this.#pending.splice(pick % this.#pending.length, 1);
-    const lost = utils.Err(utils.createStepError("unknown_outcome", {
+    const noResponse = utils.Err(utils.createStepError("unknown_outcome", {
       step: "store.call",
       peer: "store",
-      message: "No answer.",
+      message: "The store did not answer.",
     }));
     switch (fate) {
       case "answered":
         return this.#answer(call, utils.Ok(this.#apply(call)));
       case "answer_lost":
         this.#apply(call);
-        return this.#answer(call, lost);
+        return this.#answer(call, noResponse);
       case "lost":
-        return this.#answer(call, lost);
+        return this.#answer(call, noResponse);
       case "delayed":
         this.#delayed.push(call);
-        return this.#answer(call, lost);
+        return this.#answer(call, noResponse);
     }
   }
 
-  /** Lets a delayed call take effect. */
+  /** Applies the delayed call at index `pick`, modulo the number of delayed calls. */
   deliverDelayed(pick: number): void {
     if (this.#delayed.length === 0) return;
     this.#apply(this.#delayed.splice(pick % this.#delayed.length, 1)[0]);
   }
 
-  /** Freezes a host: answers reach it only once it is thawed. */
+  /** Suspends a host: it receives no responses until it is thawed. */
   freeze(host: string): void {
-    if (!this.#held.has(host)) this.#held.set(host, []);
+    if (!this.#heldResponses.has(host)) this.#heldResponses.set(host, []);
   }
 
   thaw(host: string): void {
-    const held = this.#held.get(host) ?? [];
-    this.#held.delete(host);
+    const held = this.#heldResponses.get(host) ?? [];
+    this.#heldResponses.delete(host);
     held.forEach((deliver) => deliver());
   }
 
   isFrozen(host: string): boolean {
-    return this.#held.has(host);
+    return this.#heldResponses.has(host);
   }
 
-  /** The client of one host. Watches are not simulated. */
+  /** Creates the client of one host. Watches are not simulated. */
   createClient(host: string): client.StoreClient {
-    const call = <Answer>(apply: () => Answer) => this.#call(host, apply);
+    const call = <ResponseBody>(apply: () => ResponseBody) =>
+      this.#call(host, apply);
     return {
       get: (key) =>
         call(() => {
@@ -113,15 +115,15 @@
     };
   }
 
-  #call<Answer>(
+  #call<ResponseBody>(
     host: string,
-    apply: () => Answer,
-  ): Promise<utils.Result<Answer, utils.StepError>> {
+    apply: () => ResponseBody,
+  ): Promise<utils.Result<ResponseBody, utils.StepError>> {
     if (this.unreachable.has(host)) {
       return Promise.resolve(utils.Err(utils.createStepError("unreachable", {
         step: "store.call",
         peer: "store",
-        message: "Refused.",
+        message: "The store refused the connection.",
       })));
     }
     return new Promise((resolve) =>
@@ -143,15 +145,15 @@
     result: utils.Result<unknown, utils.StepError>,
   ): void {
     const deliver = () => call.resolve(result);
-    const held = this.#held.get(call.host);
+    const held = this.#heldResponses.get(call.host);
     if (held === undefined) deliver();
     else held.push(deliver);
   }
 
   #swap(swap: client.Swap): client.SwapOutcome {
     const { key, value, lease } = swap;
-    const leased = lease === undefined || this.kv.hasLease(lease);
-    if (!this.kv.isAt(key, swap.expected) || !leased) {
+    const isLeaseValid = lease === undefined || this.kv.hasLease(lease);
+    if (!this.kv.isAt(key, swap.expected) || !isLeaseValid) {
       const pair = this.kv.get(key);
       return { kind: "lost", current: pair && toEntry(pair) };
     }
@@ -166,7 +168,7 @@
 }
 
 /**
- * Lets every promise that can go on do so.
+ * Runs all promise callbacks that are ready.
  *
  * @example
  * await flushPromises();
--- a/packages/store/sim_testing.ts
+++ b/packages/store/sim_testing.ts
@@ -1,8 +1,8 @@
-/** Steps that fuzz tests of several simulated hosts share. */
+/** Simulation steps that the fuzz tests with several simulated hosts share. */
 import * as fc from "fast-check";
 import * as sim from "./sim.ts";
 
-/** Something that happens to the hosts' world. */
+/** A step of the simulation: it delivers calls, advances the time, or starts or ends a fault. */
 export type WorldStep =
   | {
     readonly kind: "deliver";
@@ -20,7 +20,8 @@
 const pick = fc.nat({ max: 20 });
 
 /**
- * Generates a world step for so many hosts.
+ * Creates a generator of steps for a number of hosts; `advances` lists the time
+ * steps in ms.
  *
  * @example
  * const step = createWorldStep(3);
@@ -69,24 +70,25 @@
       }),
     },
     ...(["freeze", "thaw", "cut", "heal"] as const).map((kind) => ({
-      // Faults end sooner than they begin, or little would ever be done.
+      // Faults end more often than they begin; otherwise most hosts would be
+      // suspended or disconnected most of the time.
       weight: kind === "thaw" || kind === "heal" ? 3 : 1,
       arbitrary: fc.record({ kind: fc.constant(kind), host }),
     })),
   );
 }
 
-/** Hosts, their store and their clock, in virtual time. */
+/** Simulated hosts with their store and clock, in virtual time. */
 export class SimWorld {
   now = 0;
   readonly store = new sim.SimStore(() => this.now);
-  /** Time each host sees; it goes on while a host is frozen. */
+  /** Clock of all hosts; it advances while a host is frozen. */
   readonly clock = { now: () => this.now, wall: () => this.now };
 
   readonly #busy = new Set<string>();
   #failure: unknown;
 
-  /** The name of a host. */
+  /** Returns the name of a host. */
   getName(host: number): string {
     return `h${host}`;
   }
@@ -96,9 +98,9 @@
   }
 
   /**
-   * Starts a task of a host and lets it go as far as it can. A host runs a
-   * task once at a time, and none while it is frozen. What the task throws
-   * fails the history at its next step.
+   * Starts a task of a host and runs it until it waits for the store. A host runs
+   * one instance of a task at a time, and starts none while it is frozen. An error
+   * thrown by the task is rethrown by the next step of the simulation.
    */
   async spawn(
     task: { readonly name: string; readonly host: number },
@@ -110,10 +112,10 @@
     work().catch((thrown) => {
       this.#failure ??= thrown;
     }).finally(() => this.#busy.delete(id));
-    await this.#goOn();
+    await this.#flush();
   }
 
-  async #goOn(): Promise<void> {
+  async #flush(): Promise<void> {
     await sim.flushPromises();
     if (this.#failure !== undefined) throw this.#failure;
   }
@@ -122,7 +124,7 @@
     return this.#busy.has(`${task.name}/${task.host}`);
   }
 
-  /** Runs a world step and all that can go on after it. */
+  /** Runs a step and all promise callbacks that are ready after it. */
   async run(step: WorldStep): Promise<void> {
     switch (step.kind) {
       case "deliver_all":
@@ -149,10 +151,10 @@
         this.store.unreachable.delete(this.getName(step.host));
         break;
     }
-    await this.#goOn();
+    await this.#flush();
   }
 
-  /** Ends all faults and answers every call until none is waiting. */
+  /** Ends all faults and answers calls until none is pending. */
   async settle(hosts: number): Promise<void> {
     for (let host = 0; host < hosts; host += 1) {
       await this.run({ kind: "thaw", host });
@@ -161,18 +163,18 @@
     await this.answerAll();
   }
 
-  /** Answers every call until none is waiting. */
+  /** Answers calls until none is pending. */
   async answerAll(): Promise<void> {
-    await this.#goOn();
+    await this.#flush();
     while (this.store.countPending() > 0) {
       this.store.deliver(0, "answered");
-      await this.#goOn();
+      await this.#flush();
     }
   }
 }
 
 /**
- * Throws if what must hold does not.
+ * Throws an error if an invariant does not hold.
  *
  * @example
  * assertHolds(count <= 1, "an operation ran twice");
--- a/packages/store/wire.ts
+++ b/packages/store/wire.ts
@@ -1,9 +1,9 @@
 /**
- * Messages of the etcd v3 JSON gateway, as far as they are used. Keys and
- * values travel in base64 and 64-bit numbers as decimal strings.
+ * The messages of the etcd v3 JSON gateway that this project uses. Keys and
+ * values are encoded as base64, 64-bit integers as decimal strings.
  */
 
-/** A stored pair. */
+/** A stored key-value pair. */
 export interface WirePair {
   readonly key: string;
   readonly value?: string;
@@ -12,21 +12,21 @@
   readonly lease?: string;
 }
 
-/** Body of `/v3/kv/range`. */
+/** Request body of `/v3/kv/range`. */
 export interface RangeRequest {
   readonly key: string;
   readonly range_end?: string;
   readonly limit?: string;
 }
 
-/** Answer of `/v3/kv/range`. */
-export interface RangeAnswer {
+/** Response body of `/v3/kv/range`. */
+export interface RangeResponse {
   readonly header?: { readonly revision?: string };
   readonly kvs?: readonly WirePair[];
   readonly more?: boolean;
 }
 
-/** Body of `/v3/kv/txn`: one comparison, then a put or delete, else a read. */
+/** Request body of `/v3/kv/txn`: a comparison, a put or delete if it succeeds, and a read if it fails. */
 export interface TxnRequest {
   readonly compare: readonly {
     readonly key: string;
@@ -41,20 +41,20 @@
   readonly failure: readonly { readonly request_range: RangeRequest }[];
 }
 
-/** Answer of `/v3/kv/txn`. */
-export interface TxnAnswer {
+/** Response body of `/v3/kv/txn`. */
+export interface TxnResponse {
   readonly header?: { readonly revision?: string };
   readonly succeeded?: boolean;
-  readonly responses?: readonly { readonly response_range?: RangeAnswer }[];
+  readonly responses?: readonly { readonly response_range?: RangeResponse }[];
 }
 
-/** Answers of the lease calls. */
-export interface LeaseAnswer {
+/** Response body of the lease calls. */
+export interface LeaseResponse {
   readonly ID?: string;
   readonly TTL?: string;
 }
 
-/** One line of a watch. */
+/** One line of the response stream of `/v3/watch`. */
 export interface WatchLine {
   readonly result?: {
     readonly created?: boolean;
@@ -68,7 +68,7 @@
 }
 
 /**
- * Encodes text for a key or value field.
+ * Encodes text as base64 for a key or value field.
  *
  * @example
  * encodeText("a"); // "YQ=="
@@ -78,7 +78,7 @@
 }
 
 /**
- * Decodes a key or value field.
+ * Decodes a base64 key or value field; an absent field is empty text.
  *
  * @example
  * decodeText("YQ=="); // "a"
@@ -88,8 +88,8 @@
 }
 
 /**
- * Returns the end of the range that holds every key with a prefix: the prefix
- * with its last byte one higher.
+ * Returns the exclusive end of the range that holds all keys with a prefix: the
+ * prefix with its last character incremented.
  *
  * @example
  * getRangeEnd("a/"); // "a0"
--- a/scripts/mutations.ts
+++ b/scripts/mutations.ts
@@ -310,8 +310,8 @@
   {
     name: "claims: a claim is not bound to the key's absence",
     file: "packages/store/sim.ts",
-    find: "if (!this.kv.isAt(key, swap.expected) || !leased) {",
-    replace: "if (!leased) {",
+    find: "if (!this.kv.isAt(key, swap.expected) || !isLeaseValid) {",
+    replace: "if (!isLeaseValid) {",
     test: CLAIMS,
   },
   {
