--- a/packages/store/config_store.ts
+++ b/packages/store/config_store.ts
@@ -102,16 +102,16 @@
   const entry = await store.get(SNAPSHOT_POINTER_KEY);
   if (entry.err) return entry;
   if (entry.val === undefined) return utils.Ok(core.EMPTY_CONFIGURATION);
-  const base = JSON.parse(entry.val.value) as SnapshotPointer;
-  const pieces = await store.list(`${SNAPSHOT_PREFIX}${base.revision}/`);
+  const pointer = JSON.parse(entry.val.value) as SnapshotPointer;
+  const pieces = await store.list(`${SNAPSHOT_PREFIX}${pointer.revision}/`);
   if (pieces.err) return pieces;
   // A snapshot is stored in pieces but applied only as a whole.
-  if (pieces.val.length !== base.pieces) {
+  if (pieces.val.length !== pointer.pieces) {
     return utils.Err(utils.createStepError("conflict", {
       step: "store.readSnapshot",
       peer: "store",
       message:
-        `Snapshot ${base.revision} is incomplete because a newer one replaced it; read the configuration again.`,
+        `Snapshot ${pointer.revision} is incomplete because a newer one replaced it; read the configuration again.`,
     }));
   }
   const text = pieces.val.map((piece) => piece.value).join("");
@@ -179,8 +179,8 @@
 ): Promise<utils.Result<CommitOutcome, utils.StepError>> {
   const entry = await store.get(SNAPSHOT_POINTER_KEY);
   if (entry.err) return entry;
-  const base = entry.val && JSON.parse(entry.val.value) as SnapshotPointer;
-  if (base === undefined || base.revision < change.revision) {
+  const pointer = entry.val && JSON.parse(entry.val.value) as SnapshotPointer;
+  if (pointer === undefined || pointer.revision < change.revision) {
     return utils.Ok({ kind: "committed", change });
   }
   const own = await store.get(getLogKey(change.revision));
@@ -223,8 +223,8 @@
 ): Promise<utils.Result<boolean, utils.StepError>> {
   const entry = await store.get(SNAPSHOT_POINTER_KEY);
   if (entry.err) return entry;
-  const base = entry.val && JSON.parse(entry.val.value) as SnapshotPointer;
-  if (configuration.revision - (base?.revision ?? 0) < every) {
+  const pointer = entry.val && JSON.parse(entry.val.value) as SnapshotPointer;
+  if (configuration.revision - (pointer?.revision ?? 0) < every) {
     return utils.Ok(false);
   }
   const pieces = splitText(JSON.stringify(core.buildSnapshot(configuration)));
@@ -247,8 +247,8 @@
     }),
   });
   if (moved.err) return moved;
-  if (moved.val.kind === "won" && base !== undefined) {
-    await dropCompacted(store, base);
+  if (moved.val.kind === "won" && pointer !== undefined) {
+    await dropCompacted(store, pointer);
   }
   return utils.Ok(moved.val.kind === "won");
 }
--- a/scripts/mutations.ts
+++ b/scripts/mutations.ts
@@ -281,8 +281,8 @@
   {
     name: "config: a record behind a compaction counts as committed",
     file: "packages/store/config_store.ts",
-    find: "if (base === undefined || base.revision < change.revision) {",
-    replace: "if (base === undefined || change.revision > 0) {",
+    find: "if (pointer === undefined || pointer.revision < change.revision) {",
+    replace: "if (pointer === undefined || change.revision > 0) {",
     test: CONFIG,
   },
   {
