--- a/scripts/mutations.ts
+++ b/scripts/mutations.ts
@@ -281,8 +281,8 @@
   {
     name: "config: a record behind a compaction counts as committed",
     file: "packages/store/config_store.ts",
-    find: "if (base === undefined || base.revision < change.revision) {",
-    replace: "if (base === undefined || change.revision > 0) {",
+    find: "if (pointer === undefined || pointer.revision < change.revision) {",
+    replace: "if (pointer === undefined || change.revision > 0) {",
     test: CONFIG,
   },
   {
@@ -310,8 +310,8 @@
   {
     name: "claims: a claim is not bound to the key's absence",
     file: "packages/store/sim.ts",
-    find: "if (!this.kv.isAt(key, swap.expected) || !leased) {",
-    replace: "if (!leased) {",
+    find: "if (!this.kv.isAt(key, swap.expected) || !isLeaseValid) {",
+    replace: "if (!isLeaseValid) {",
     test: CLAIMS,
   },
   {
