--- a/packages/engine/client.ts
+++ b/packages/engine/client.ts
@@ -26,7 +26,7 @@
   readonly offset: number;
   /** Longest wait for the first byte, in ms. */
   readonly firstByteMs: number;
-  /** Longest wait between two parts of the answer, in ms. */
+  /** Longest wait between two parts of the response, in ms. */
   readonly betweenMs: number;
   readonly signal: AbortSignal;
 }
@@ -59,7 +59,7 @@
   { call, sink }: { readonly call: EngineCall; readonly sink: EngineSink },
 ): Promise<EngineOutcome> {
   try {
-    const answer = await undici.request(call.server.url + call.path, {
+    const response = await undici.request(call.server.url + call.path, {
       dispatcher: agent,
       method: "POST",
       headers: buildHeaders(call),
@@ -68,7 +68,7 @@
       bodyTimeout: call.betweenMs,
       signal: call.signal,
     });
-    return await readAnswer(answer, { call, sink });
+    return await readAnswer(response, { call, sink });
   } catch (thrown) {
     if (call.signal.aborted) return { kind: "aborted" };
     return { kind: "failed", failure: utils.classifyThrown(thrown) };
@@ -85,28 +85,28 @@
 }
 
 async function readAnswer(
-  answer: undici.Dispatcher.ResponseData,
+  response: undici.Dispatcher.ResponseData,
   { call, sink }: { readonly call: EngineCall; readonly sink: EngineSink },
 ): Promise<EngineOutcome> {
-  const header = (name: string) => answer.headers[name] as string | undefined;
+  const header = (name: string) => response.headers[name] as string | undefined;
   const report = load.parseLoad(call.server.name, header(utils.LOAD_HEADER));
   if (report !== undefined) sink.onLoad(report);
   const own = header(utils.REQUEST_ID_HEADER) === call.requestId &&
     header(utils.ATTEMPT_HEADER) === String(call.attempt);
   if (!own) {
-    answer.body.destroy();
+    response.body.destroy();
     return { kind: "failed", failure: "crossed" };
   }
-  if (answer.statusCode >= 500 || answer.statusCode === 429) {
-    await answer.body.dump();
+  if (response.statusCode >= 500 || response.statusCode === 429) {
+    await response.body.dump();
     const refused = header(utils.RAN_HEADER) === "no";
     return { kind: "failed", failure: refused ? "refused" : "server_error" };
   }
-  if (call.stream && answer.statusCode === 200) {
-    return await readStream(answer.body, { call, sink });
+  if (call.stream && response.statusCode === 200) {
+    return await readStream(response.body, { call, sink });
   }
-  const body = await answer.body.text();
-  await sink.onAnswer({ status: answer.statusCode, body });
+  const body = await response.body.text();
+  await sink.onAnswer({ status: response.statusCode, body });
   return { kind: "whole", tokens: readUsage(body) };
 }
 
--- a/packages/engine/load.ts
+++ b/packages/engine/load.ts
@@ -29,14 +29,14 @@
   server: { readonly name: string; readonly url: string },
 ): Promise<core.LoadReport | undefined> {
   try {
-    const answer = await undici.request(`${server.url}/load`, {
+    const response = await undici.request(`${server.url}/load`, {
       dispatcher: agent,
       signal: AbortSignal.timeout(1_000),
     });
-    await answer.body.dump();
+    await response.body.dump();
     return parseLoad(
       server.name,
-      answer.headers[utils.LOAD_HEADER] as string | undefined,
+      response.headers[utils.LOAD_HEADER] as string | undefined,
     );
   } catch {
     return undefined;
--- a/packages/service/client.ts
+++ b/packages/service/client.ts
@@ -1,42 +1,42 @@
-/** One attempt at a plain service. */
+/** HTTP client that runs one attempt of a plain service call. */
 import * as undici from "undici";
 import type * as core from "@banyangrade/core";
 import * as utils from "@banyangrade/utils";
 
-/** What an attempt sends. */
+/** Request that an attempt sends. */
 export interface ServiceCall {
   readonly requestId: string;
   readonly attempt: number;
   readonly server: core.ServerInfo;
   readonly method: string;
-  /** Path and query without the caller's key. */
+  /** Path and query without the caller's API key. */
   readonly path: string;
   readonly headers: Readonly<Record<string, string | string[]>>;
   readonly body: Uint8Array;
-  /** Longest wait for the answer's first byte, in ms. */
+  /** Timeout for the response headers, in ms. */
   readonly firstByteMs: number;
   readonly signal: AbortSignal;
 }
 
-/** A whole answer. */
+/** A complete response. */
 export interface ServiceAnswer {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[]>>;
   readonly body: Buffer;
 }
 
-/** How an attempt ended. */
+/** Outcome of an attempt. */
 export type ServiceOutcome =
   | { readonly kind: "whole"; readonly answer: ServiceAnswer }
   | { readonly kind: "failed"; readonly failure: core.AttemptFailure }
   | { readonly kind: "aborted" };
 
-/** Largest answer of a plain service in bytes; it is held until it is whole. */
-const MAX_ANSWER_BYTES = 8 * 1024 * 1024;
+/** Maximum response size in bytes; a response is buffered until it is complete. */
+const MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
 
 /**
- * Calls a plain service and waits for the whole answer, so that a cut one is
- * never passed on as if it were whole. Never rejects.
+ * Calls a plain service and buffers the complete response, so that a truncated
+ * response is never forwarded as a complete one. The promise never rejects.
  *
  * @example
  * const outcome = await runCall(agent, call);
@@ -46,7 +46,7 @@
   call: ServiceCall,
 ): Promise<ServiceOutcome> {
   try {
-    const answer = await agent.request({
+    const response = await agent.request({
       origin: call.server.url,
       path: call.path,
       method: call.method as undici.Dispatcher.HttpMethod,
@@ -59,36 +59,36 @@
       headersTimeout: call.firstByteMs,
       signal: call.signal,
     });
-    return await readAnswer(answer, call);
+    return await readResponse(response, call);
   } catch (thrown) {
     if (call.signal.aborted) return { kind: "aborted" };
     return { kind: "failed", failure: utils.classifyThrown(thrown) };
   }
 }
 
-async function readAnswer(
-  answer: undici.Dispatcher.ResponseData,
+async function readResponse(
+  response: undici.Dispatcher.ResponseData,
   call: ServiceCall,
 ): Promise<ServiceOutcome> {
-  const id = answer.headers[utils.REQUEST_ID_HEADER];
-  const attempt = answer.headers[utils.ATTEMPT_HEADER];
-  // A service that does not echo them cannot be checked; one that does must match.
-  const own = (id === undefined || id === call.requestId) &&
+  const id = response.headers[utils.REQUEST_ID_HEADER];
+  const attempt = response.headers[utils.ATTEMPT_HEADER];
+  // Services may omit the identifier and the attempt number; echoed values must match.
+  const identifiersMatch = (id === undefined || id === call.requestId) &&
     (attempt === undefined || attempt === String(call.attempt));
-  if (!own) {
-    answer.body.destroy();
+  if (!identifiersMatch) {
+    response.body.destroy();
     return { kind: "failed", failure: "crossed" };
   }
-  const refused = answer.headers[utils.RAN_HEADER] === "no";
-  if (refused && (answer.statusCode === 503 || answer.statusCode === 429)) {
-    await answer.body.dump();
+  const refused = response.headers[utils.RAN_HEADER] === "no";
+  if (refused && (response.statusCode === 503 || response.statusCode === 429)) {
+    await response.body.dump();
     return { kind: "failed", failure: "refused" };
   }
   const chunks: Buffer[] = [];
   let size = 0;
-  for await (const chunk of answer.body) {
+  for await (const chunk of response.body) {
     size += chunk.length;
-    if (size > MAX_ANSWER_BYTES) {
+    if (size > MAX_RESPONSE_BYTES) {
       return { kind: "failed", failure: "server_error" };
     }
     chunks.push(chunk);
@@ -96,8 +96,8 @@
   return {
     kind: "whole",
     answer: {
-      status: answer.statusCode,
-      headers: utils.filterHeaders(answer.headers),
+      status: response.statusCode,
+      headers: utils.filterHeaders(response.headers),
       body: Buffer.concat(chunks),
     },
   };
--- a/packages/service/connections.ts
+++ b/packages/service/connections.ts
@@ -1,35 +1,36 @@
-/** Connections to one backend server. */
+/** HTTP connection pool of one backend server. */
 import * as undici from "undici";
 import * as utils from "@banyangrade/utils";
 
-/** Longest wait for a new connection, in ms: some hundred times the way between failure domains. */
-const CONNECT_MS = 400;
+/** Timeout for opening a connection, in ms; about a hundred times the latency between failure domains. */
+const CONNECT_TIMEOUT_MS = 400;
 /**
- * Idle time after which a connection is closed, in ms, where the server names
- * none. A request that is sent into a connection just closing has an unknown
- * outcome, so it must be shorter than what servers commonly allow.
+ * Idle time after which a connection is closed, in ms, unless the server sends
+ * a keep-alive timeout. It is shorter than the usual timeouts of servers,
+ * because a request that is sent while the server closes the connection has an
+ * unknown outcome.
  */
-const IDLE_MS = 4_000;
+const KEEP_ALIVE_TIMEOUT_MS = 4_000;
 
-/** Connections to one server. */
+/** Connection pool of one backend server. */
 export interface ServerConnections {
   readonly dispatcher: undici.Dispatcher;
-  /** Most connections, and so most requests at a time. */
+  /** Maximum number of connections, and thus of concurrent requests. */
   readonly limit: number;
-  /** Whether one is open that nothing uses. */
+  /** Whether an open connection is idle. */
   readonly hasFree: () => boolean;
-  /** Records that the server sent something on any of them. */
-  readonly recordHeard: () => void;
-  /** Time since then, in ms. */
-  readonly getSilence: () => number;
-  /** Closes them as their work ends. */
+  /** Records that the server sent data on one of the connections. */
+  readonly recordReceived: () => void;
+  /** Time since the server last sent data on any connection, in ms. */
+  readonly getInactiveMs: () => number;
+  /** Closes each connection when its running request has ended. */
   readonly close: () => Promise<void>;
-  /** Closes them at once. */
+  /** Closes all connections at once and aborts their requests. */
   readonly destroy: () => Promise<void>;
 }
 
 /**
- * Makes the connections; each is opened when it is needed.
+ * Creates a connection pool, which opens connections on demand.
  *
  * @example
  * const connections = createServerConnections("http://10.0.0.1:80", { connections: 8 });
@@ -39,22 +40,22 @@
   options: { readonly connections: number; readonly clock: utils.Clock },
 ): ServerConnections {
   const { clock } = options;
-  let heardAt = Number.NEGATIVE_INFINITY;
+  let lastReceivedAt = Number.NEGATIVE_INFINITY;
   const pool = new undici.Pool(url, {
     connections: options.connections,
     pipelining: 1,
-    keepAliveTimeout: IDLE_MS,
-    connect: { timeout: CONNECT_MS },
+    keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
+    connect: { timeout: CONNECT_TIMEOUT_MS },
     factory: utils.createResettingClient,
   });
   return {
     dispatcher: pool,
     limit: options.connections,
     hasFree: () => pool.stats.free > 0,
-    recordHeard: () => {
-      heardAt = clock.now();
+    recordReceived: () => {
+      lastReceivedAt = clock.now();
     },
-    getSilence: () => clock.now() - heardAt,
+    getInactiveMs: () => clock.now() - lastReceivedAt,
     close: () => pool.close(),
     destroy: () => pool.destroy(),
   };
--- a/packages/service/fake.ts
+++ b/packages/service/fake.ts
@@ -1,24 +1,24 @@
 /**
- * Stand-in for a plain service: it records each call that it runs, so that a
+ * Fake plain service for tests. It records each call that it executes, so that a
  * test can count how often an operation took effect.
  */
 import * as http from "node:http";
 import type * as net from "node:net";
 import * as utils from "@banyangrade/utils";
 
-/** What is wrong with the service. */
+/** Fault that the fake service injects. */
 export type ServiceFault =
   | { readonly kind: "none" }
-  /** Refuses before running anything. */
+  /** Refuses each call without executing it. */
   | { readonly kind: "refuse" }
-  /** Runs the call, then breaks the connection without an answer. */
+  /** Executes the call, then closes the connection without a response. */
   | { readonly kind: "lose_answer" }
-  /** Runs the call and answers after `ms`. */
+  /** Executes the call and responds after `ms` milliseconds. */
   | { readonly kind: "slow"; readonly ms: number }
-  /** Answers with another request's identifier. */
+  /** Responds with the identifier of another request. */
   | { readonly kind: "cross" };
 
-/** A call that the service ran. */
+/** A call that the fake service executed. */
 export interface RunCall {
   readonly requestId: string;
   readonly method: string;
@@ -27,17 +27,17 @@
   readonly body: string;
 }
 
-/** A running stand-in. */
+/** A running fake service. */
 export interface FakeService {
   readonly url: string;
-  /** Calls in the order in which they took effect. */
+  /** Executed calls in the order in which they took effect. */
   readonly ran: readonly RunCall[];
   readonly setFault: (fault: ServiceFault) => void;
   readonly close: () => Promise<void>;
 }
 
 /**
- * Starts a plain service's stand-in on loopback.
+ * Starts a fake plain service on the loopback interface.
  *
  * @example
  * const service = await startFakeService({});
@@ -48,24 +48,24 @@
 ): Promise<FakeService> {
   const ran: RunCall[] = [];
   let fault: ServiceFault = { kind: "none" };
-  const server = http.createServer((request, answer) => {
-    run(request, answer).catch(() => answer.destroy());
+  const server = http.createServer((request, response) => {
+    run(request, response).catch(() => response.destroy());
   });
 
   async function run(
     request: http.IncomingMessage,
-    answer: http.ServerResponse,
+    response: http.ServerResponse,
   ): Promise<void> {
     const chunks: Buffer[] = [];
     for await (const chunk of request) chunks.push(chunk as Buffer);
     const active = fault;
     const id = String(request.headers[utils.REQUEST_ID_HEADER] ?? "");
-    answer.setHeader(
+    response.setHeader(
       utils.REQUEST_ID_HEADER,
       active.kind === "cross" ? "another-request" : id,
     );
     if (active.kind === "refuse") {
-      answer.writeHead(503, { [utils.RAN_HEADER]: "no" }).end();
+      response.writeHead(503, { [utils.RAN_HEADER]: "no" }).end();
       return;
     }
     ran.push({
@@ -76,10 +76,10 @@
       body: Buffer.concat(chunks).toString("utf8"),
     });
     const number = ran.length;
-    if (active.kind === "lose_answer") return void answer.destroy();
+    if (active.kind === "lose_answer") return void response.destroy();
     const ms = active.kind === "slow" ? active.ms : options.answerMs ?? 0;
     if (ms > 0) await utils.waitFor(ms);
-    answer.writeHead(200, { "content-type": "application/json" })
+    response.writeHead(200, { "content-type": "application/json" })
       .end(JSON.stringify({ number, path: request.url }));
   }
 
--- a/packages/service/forward.ts
+++ b/packages/service/forward.ts
@@ -1,29 +1,29 @@
 /**
- * One attempt to pass a caller's request on to a backend server as it came.
- * A plain answer is held until it is whole, so that a cut one never passes for
- * a whole one; a stream is passed on in whole events.
+ * Runs one attempt to forward a caller's request unchanged to a backend server.
+ * A plain response is buffered until it is complete, so that a truncated response
+ * is never forwarded as a complete one. A stream is forwarded in complete events.
  */
 import type * as undici from "undici";
 import type * as core from "@banyangrade/core";
 import * as utils from "@banyangrade/utils";
 import type * as connections from "./connections.ts";
-import * as eventBlocks from "./event_blocks.ts";
+import * as eventSplitter from "./event_splitter.ts";
 import * as silenceWatch from "./silence_watch.ts";
 
-/** What an answer's head says beyond HTTP. */
+/** Metadata that the platform adds to the response headers. */
 export interface AnswerMarks {
-  /** Identifier of the request that it answers, as the server echoes it. */
+  /** Request identifier that the server echoes. */
   readonly requestId: string | undefined;
-  /** The server says that it did not run the request. */
+  /** Whether the server states that it did not execute the request. */
   readonly notRun: boolean;
-  /** It bears the server's own mark, so it is no intermediary's answer. */
+  /** Whether the headers prove that the server itself sent the response, not an intermediary. */
   readonly genuine: boolean;
 }
 
-/** Headers as they are passed on. */
+/** Headers of a forwarded message. */
 export type Headers = Readonly<Record<string, string | string[]>>;
 
-/** What an attempt sends. */
+/** Request that an attempt sends, with its limits. */
 export interface ForwardCall {
   readonly connections: connections.ServerConnections;
   readonly requestId: string;
@@ -31,9 +31,9 @@
   readonly path: string;
   readonly headers: Headers;
   readonly body: Buffer;
-  /** Whether a success is a stream of events. */
+  /** Whether a successful response is an event stream. */
   readonly stream: boolean;
-  /** Identifier of the last event that the caller has; -1 before the first. */
+  /** Identifier of the last event that the caller received; -1 if none. */
   readonly lastEventId: number;
   readonly silence: silenceWatch.SilenceLimits;
   readonly readMarks: (
@@ -43,53 +43,53 @@
   readonly signal: AbortSignal;
 }
 
-/** A whole answer, or the head of a stream. */
+/** A complete response. */
 export interface ForwardedAnswer {
   readonly status: number;
   readonly headers: Headers;
   readonly body: Buffer;
 }
 
-/** Where a stream goes. */
+/** Receiver of a stream. */
 export interface ForwardSink {
-  /** Takes whole events as they came; waits while the caller is slow. */
+  /** Receives complete events unchanged; the promise applies backpressure while the caller is slow. */
   readonly onEvents: (
     batch: EventBatch,
   ) => void | Promise<void>;
 }
 
-/** Whole events of a stream. */
+/** Complete events of a stream. */
 export interface EventBatch {
   readonly bytes: Buffer;
   readonly count: number;
   readonly lastEventId: number;
-  /** Head of the answer that they belong to. */
+  /** Status and headers of the response that contains the events. */
   readonly head: Omit<ForwardedAnswer, "body">;
 }
 
-/** How an attempt ended. */
+/** Outcome of an attempt. */
 export type ForwardOutcome =
   | { readonly kind: "whole"; readonly answer: ForwardedAnswer }
   | {
     readonly kind: "streamed";
     readonly events: number;
-    /** Head of the answer, for a stream that brought no event. */
+    /** Status and headers of the response, for a stream without events. */
     readonly head: Omit<ForwardedAnswer, "body">;
   }
   | {
     readonly kind: "failed";
     readonly failure: core.AttemptFailure;
-    /** The server's own whole answer, to be passed on if nothing else is tried. */
+    /** Complete error response of the server, which is forwarded if there is no further attempt. */
     readonly answer?: ForwardedAnswer;
     readonly reason: string;
   }
   | { readonly kind: "aborted" };
 
-/** Largest answer in bytes that is held until it is whole. */
-const MAX_ANSWER_BYTES = 8 * 1024 * 1024;
+/** Maximum size of a buffered response, in bytes. */
+const MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
 
 /**
- * Runs one attempt to its end. Never rejects.
+ * Runs one attempt to its end. The promise never rejects.
  *
  * @example
  * const outcome = await forwardRequest(call, { onEvents });
@@ -98,9 +98,9 @@
   call: ForwardCall,
   sink: ForwardSink,
 ): Promise<ForwardOutcome> {
-  const watch = silenceWatch.watchSilence(call);
+  const watch = silenceWatch.watchInactivity(call);
   try {
-    const answer = await call.connections.dispatcher.request({
+    const response = await call.connections.dispatcher.request({
       method: call.method as undici.Dispatcher.HttpMethod,
       path: call.path,
       headers: call.headers as Record<string, string | string[]>,
@@ -109,13 +109,13 @@
       bodyTimeout: 0,
       signal: watch.signal,
     });
-    watch.recordHeard();
-    const outcome = await readAnswer(answer, { call, sink, watch });
-    return isFramed(answer.headers) ? outcome : buildUnproved(outcome);
+    watch.recordReceived();
+    const outcome = await readResponse(response, { call, sink, watch });
+    return isFramed(response.headers) ? outcome : failUnframedSuccess(outcome);
   } catch (thrown) {
     if (call.signal.aborted) return { kind: "aborted" };
     if (watch.signal.aborted) {
-      const reason = "The server kept silent for too long.";
+      const reason = "The server sent no data within the inactivity limit.";
       return { kind: "failed", failure: "timeout", reason };
     }
     const reason = utils.readMessage(thrown);
@@ -125,26 +125,27 @@
   }
 }
 
-/** Whether an answer says where it ends; else it ends with its connection. */
+/** Whether the headers delimit the body; otherwise the body ends when the connection closes. */
 function isFramed(headers: undici.Dispatcher.ResponseData["headers"]): boolean {
   return headers["content-length"] !== undefined ||
     headers["transfer-encoding"] !== undefined;
 }
 
 /**
- * Takes back a success that has neither a length nor chunks. It ends with its
- * connection, and the connection of a server that crashes may be closed in
- * order too, so a caller would get the first part of a booking's answer as all
- * of it.
+ * Turns a successful response without a content length and without chunked
+ * encoding into a failure. Such a response ends when the connection closes, and
+ * the connection of a crashed server may be closed normally too, so the caller
+ * would receive a truncated response as a complete one.
  */
-function buildUnproved(outcome: ForwardOutcome): ForwardOutcome {
+function failUnframedSuccess(outcome: ForwardOutcome): ForwardOutcome {
   switch (outcome.kind) {
     case "whole":
     case "streamed":
       return {
         kind: "failed",
         failure: "connection_lost",
-        reason: "The answer does not say where it ends.",
+        reason:
+          "The response has neither a content length nor chunked encoding, so it may be truncated.",
       };
     case "failed":
     case "aborted":
@@ -155,73 +156,73 @@
 interface Exchange {
   readonly call: ForwardCall;
   readonly sink: ForwardSink;
-  readonly watch: silenceWatch.SilenceWatch;
+  readonly watch: silenceWatch.InactivityWatch;
 }
 
-async function readAnswer(
-  answer: undici.Dispatcher.ResponseData,
+async function readResponse(
+  response: undici.Dispatcher.ResponseData,
   { call, sink, watch }: Exchange,
 ): Promise<ForwardOutcome> {
-  const { statusCode: status, headers } = answer;
+  const { statusCode: status, headers } = response;
   const marks = call.readMarks(status, headers);
-  const failure = findFlaw(answer, { call, marks });
+  const failure = findHeadFailure(response, { call, marks });
   if (failure !== undefined) {
-    // The connection is finished too: what else comes on it is nobody's.
-    answer.body.on("error", () => undefined).destroy();
+    // Destroys the connection too, since further data on it belongs to no request.
+    response.body.on("error", () => undefined).destroy();
     return { kind: "failed", ...failure };
   }
-  const passed = utils.dropHopHeaders(headers);
+  const forwardedHeaders = utils.dropHopHeaders(headers);
   if (call.stream && status === 200) {
-    return await readStream(answer.body, {
+    return await readStream(response.body, {
       call,
       sink,
       watch,
-      head: { status, headers: passed },
+      head: { status, headers: forwardedHeaders },
     });
   }
-  const body = await readWhole(answer.body);
+  const body = await readBody(response.body);
   if (body === undefined) {
-    const reason = "The answer is too large.";
+    const reason = "The response exceeds the size limit.";
     return { kind: "failed", failure: "server_error", reason };
   }
-  const whole = { status, headers: passed, body };
-  if (status < 500) return { kind: "whole", answer: whole };
-  const reason = `The server answered with status ${status}.`;
-  return { kind: "failed", failure: "server_error", answer: whole, reason };
+  const forwarded = { status, headers: forwardedHeaders, body };
+  if (status < 500) return { kind: "whole", answer: forwarded };
+  const reason = `The server responded with status ${status}.`;
+  return { kind: "failed", failure: "server_error", answer: forwarded, reason };
 }
 
-/** Finds what makes an answer unusable whatever its body is. */
-function findFlaw(
+/** Returns the failure that the status and headers show regardless of the body; undefined if there is none. */
+function findHeadFailure(
   { statusCode, headers }: undici.Dispatcher.ResponseData,
   { call, marks }: { readonly call: ForwardCall; readonly marks: AnswerMarks },
 ):
   | { readonly failure: core.AttemptFailure; readonly reason: string }
   | undefined {
   if (marks.requestId !== undefined && marks.requestId !== call.requestId) {
-    const reason = "The answer belongs to another request.";
+    const reason = "The response carries the identifier of another request.";
     return { failure: "crossed", reason };
   }
   if (marks.notRun) {
-    const reason = `The server refused with status ${statusCode}.`;
+    const reason = `The server refused the request with status ${statusCode}.`;
     return { failure: "refused", reason };
   }
   const encoded = headers["content-encoding"] !== undefined;
-  const owned = marks.requestId === call.requestId && marks.genuine;
-  if (statusCode < 300 && (encoded || !owned)) {
-    const reason = "The answer is not the server's own.";
+  const fromServer = marks.requestId === call.requestId && marks.genuine;
+  if (statusCode < 300 && (encoded || !fromServer)) {
+    const reason = "The response was encoded or sent by an intermediary.";
     return { failure: "server_error", reason };
   }
   return undefined;
 }
 
-async function readWhole(
+async function readBody(
   body: AsyncIterable<Buffer>,
 ): Promise<Buffer | undefined> {
   const chunks: Buffer[] = [];
   let size = 0;
   for await (const chunk of body) {
     size += chunk.length;
-    if (size > MAX_ANSWER_BYTES) return undefined;
+    if (size > MAX_RESPONSE_BYTES) return undefined;
     chunks.push(chunk);
   }
   return Buffer.concat(chunks);
@@ -233,22 +234,23 @@
     readonly head: Omit<ForwardedAnswer, "body">;
   },
 ): Promise<ForwardOutcome> {
-  const blocks = new eventBlocks.EventBlocks(call.lastEventId);
+  const splitter = new eventSplitter.EventSplitter(call.lastEventId);
   let events = 0;
   for await (const chunk of body) {
-    watch.recordHeard();
-    const taken = blocks.take(chunk);
-    if (taken === undefined) {
-      const reason = "An event is out of order.";
+    watch.recordReceived();
+    const complete = splitter.append(chunk);
+    if (complete === undefined) {
+      const reason =
+        "The identifier of an event is not greater than the preceding one.";
       return { kind: "failed", failure: "crossed", reason };
     }
-    if (taken.count === 0) continue;
-    events += taken.count;
-    await sink.onEvents({ ...taken, head });
+    if (complete.count === 0) continue;
+    events += complete.count;
+    await sink.onEvents({ ...complete, head });
     if (call.signal.aborted) return { kind: "aborted" };
   }
-  if (!blocks.isComplete()) {
-    const reason = "The stream ended within an event.";
+  if (!splitter.isComplete()) {
+    const reason = "The stream ended in the middle of an event.";
     return { kind: "failed", failure: "connection_lost", reason };
   }
   return { kind: "streamed", events, head };
--- a/packages/service/forward_test.ts
+++ b/packages/service/forward_test.ts
@@ -1,4 +1,4 @@
-/** Attempts against a server that ends its answers in every wrong way. */
+/** Tests of forwarding attempts against servers that fail in the middle of a response. */
 import * as net from "node:net";
 import * as tapModule from "tap";
 import * as utils from "@banyangrade/utils";
@@ -7,7 +7,7 @@
 
 const tap = tapModule.default;
 
-/** A server whose answer is a function of the socket, without HTTP's help. */
+/** Starts a TCP server that writes its response directly to the socket. */
 async function startRawServer(answer: (socket: net.Socket) => void) {
   const server = net.createServer((socket) => {
     socket.on("error", () => undefined);
@@ -56,7 +56,7 @@
 
 const HEAD = "HTTP/1.1 200 OK\r\nx-id: r1\r\nx-stamp: s\r\n";
 
-/** Runs one attempt against an answer and ends the server. */
+/** Runs one attempt against a server with the given response, then stops the server. */
 async function runAgainst(
   answer: (socket: net.Socket) => void,
   changes: Partial<forward.ForwardCall> = {},
@@ -71,10 +71,10 @@
   return { outcome, events };
 }
 
-// A caller gets the first part of a booking's answer as if it were all of it.
-// The server sends no length, sends a part and is then reset: its end is the
-// end of the connection, and the HTTP client takes a reset for that end.
-tap.test("an answer without a length that is reset is not whole", async (t) => {
+// Guards against forwarding a truncated response as a complete one. The response
+// has no content length and its connection is reset in the middle of the body;
+// the HTTP client takes the reset for the end of the body.
+tap.test("a response without a content length fails if the connection is reset", async (t) => {
   const { outcome } = await runAgainst((socket) => {
     socket.write(`${HEAD}connection: close\r\n\r\nhalf of`);
     setTimeout(() => socket.resetAndDestroy(), 20);
@@ -82,27 +82,28 @@
   t.match(outcome, { kind: "failed", failure: "connection_lost" });
 });
 
-// The server crashes while it sends such an answer, and its system closes the
-// connection in order. Nothing tells this from the answer's own end, so a part
-// of a booking's answer would pass for all of it.
-tap.test("an answer without a length that is closed is not whole", async (t) => {
+// Guards against forwarding a truncated response as a complete one. The server
+// crashes while it sends a response without a content length, and its operating
+// system closes the connection normally, as at the end of a complete response.
+tap.test("a response without a content length fails if the connection is closed", async (t) => {
   const { outcome } = await runAgainst((socket) => {
     socket.end(`${HEAD}connection: close\r\n\r\nhalf of`);
   });
   t.match(outcome, { kind: "failed", failure: "connection_lost" });
 });
 
-// The same with chunks says where it ends, and must reach its caller.
-tap.test("an answer in chunks is whole with its last one", async (t) => {
+// Guards against refusing every response without a content length. Chunked
+// encoding marks the end of the body, so the response is complete.
+tap.test("a chunked response is complete after its last chunk", async (t) => {
   const { outcome } = await runAgainst((socket) => {
     socket.end(`${HEAD}transfer-encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n`);
   });
   t.match(outcome, { kind: "whole", answer: { status: 200 } });
 });
 
-// A stream without a length or chunks loses its server between two events; its
-// caller would take what came for the whole stream.
-tap.test("a stream without a length that is reset is broken", async (t) => {
+// Guards against forwarding a truncated stream as a complete one. The connection
+// of an unframed stream is reset between two events.
+tap.test("a stream without chunked encoding fails if the connection is reset", async (t) => {
   const { outcome, events } = await runAgainst((socket) => {
     socket.write(`${HEAD}connection: close\r\n\r\nid: 1\ndata: a\n\n`);
     setTimeout(() => socket.resetAndDestroy(), 20);
@@ -111,9 +112,9 @@
   t.match(outcome, { kind: "failed", failure: "connection_lost" });
 });
 
-// A server crashes in the middle of an event: the piece that came must not be
-// passed on, since the stream goes on elsewhere behind the last whole event.
-tap.test("a part of an event is not passed on", async (t) => {
+// Guards against forwarding part of an event. The server crashes in the middle of
+// an event, and the stream resumes on another server after the last complete event.
+tap.test("an incomplete event is not forwarded", async (t) => {
   const { outcome, events } = await runAgainst((socket) => {
     socket.write(`${HEAD}transfer-encoding: chunked\r\n\r\n`);
     const text = "id: 1\ndata: a\n\nid: 2\nda";
@@ -124,9 +125,9 @@
   t.match(outcome, { kind: "failed", failure: "connection_lost" });
 });
 
-// A late answer of an earlier request arrives where the next one's is expected;
-// its identifier is the earlier one's.
-tap.test("another request's answer is not taken", async (t) => {
+// Guards against returning the response of another request. A late response to an
+// earlier request arrives on the connection of the next request.
+tap.test("a response with another request's identifier is not forwarded", async (t) => {
   const { outcome } = await runAgainst((socket) => {
     socket.end(
       "HTTP/1.1 200 OK\r\nx-id: r0\r\nx-stamp: s\r\ncontent-length: 1\r\n\r\na",
@@ -135,17 +136,18 @@
   t.match(outcome, { kind: "failed", failure: "crossed" });
 });
 
-// Something between the host and the server answers in its place: the answer
-// bears no mark of the server.
-tap.test("a success without the server's mark is not passed on", async (t) => {
+// Guards against forwarding the response of an intermediary. A proxy between the
+// host and the server responds, and its response lacks the server's stamp.
+tap.test("a successful response without the server's stamp is not forwarded", async (t) => {
   const { outcome } = await runAgainst((socket) => {
     socket.end("HTTP/1.1 200 OK\r\nx-id: r1\r\ncontent-length: 1\r\n\r\na");
   });
   t.match(outcome, { kind: "failed", failure: "server_error" });
 });
 
-// A full server refuses: nothing ran, so the request may be sent elsewhere.
-tap.test("a server's refusal is told from its failure", async (t) => {
+// Guards against treating a refusal as an execution failure. An overloaded server
+// refuses without executing the request, so a retry is safe.
+tap.test("a refusal is distinguished from a server error", async (t) => {
   const refused = await runAgainst((socket) => {
     socket.end(
       "HTTP/1.1 503 Busy\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n",
@@ -164,9 +166,9 @@
   });
 });
 
-// A server that is told to go on behind event 5 begins again at event 1: the
-// caller would get five events twice.
-tap.test("a stream that goes on at the wrong event is not passed on", async (t) => {
+// Guards against duplicate events. A server that is asked to resume after event 5
+// starts again at event 1.
+tap.test("a stream that resumes at the wrong event is not forwarded", async (t) => {
   const { outcome, events } = await runAgainst((socket) => {
     socket.end(`${HEAD}connection: close\r\n\r\nid: 1\ndata: a\n\n`);
   }, { stream: true, lastEventId: 5 });
@@ -174,8 +176,9 @@
   t.match(outcome, { kind: "failed", failure: "crossed" });
 });
 
-// A server that takes no connection got no byte of the request.
-tap.test("a refused connection proves that nothing was sent", async (t) => {
+// Guards against treating a refused connection as an unknown outcome. The server
+// received no byte of the request, so a retry is safe.
+tap.test("a refused connection counts as not sent", async (t) => {
   const pool = connections.createServerConnections("http://127.0.0.1:1", {
     connections: 1,
     clock: utils.SYSTEM_CLOCK,
@@ -187,41 +190,44 @@
   await pool.close();
 });
 
-const SHORT = { headMs: 60, betweenMs: 60, sharesServer: true };
+const SHORT_LIMITS = { headMs: 60, betweenMs: 60, sharesServer: true };
 
-// A server goes dark with a stream on it: nothing ends the connection, and the
-// caller would wait until its deadline.
-tap.test("a silent server is given up", async (t) => {
-  const { outcome } = await runAgainst(() => undefined, { silence: SHORT });
+// Guards against waiting for a failed server until the caller's deadline. The
+// server stops responding, but the connection stays open.
+tap.test("an attempt at an unresponsive server times out", async (t) => {
+  const { outcome } = await runAgainst(() => undefined, {
+    silence: SHORT_LIMITS,
+  });
   t.match(outcome, { kind: "failed", failure: "timeout" });
 });
 
-// A burst keeps a stream waiting at a server that answers others. Given up, its
-// prompt would be taken in once more elsewhere, and the burst would grow.
-tap.test("a server that answers others is not given up so soon", async (t) => {
+// Guards against retries that add to an overload. A load spike delays one stream
+// at a server that responds on its other connections; a retry would repeat the
+// prefill on another server.
+tap.test("an attempt at a server that is active on other connections times out later", async (t) => {
   const server = await startRawServer((socket) => {
     setTimeout(() => socket.end(`${HEAD}content-length: 4\r\n\r\ndone`), 110);
   });
-  const others = setInterval(() => server.pool.recordHeard(), 10);
+  const otherTraffic = setInterval(() => server.pool.recordReceived(), 10);
   const outcome = await forward.forwardRequest(
-    buildCall(server.pool, { silence: SHORT }),
+    buildCall(server.pool, { silence: SHORT_LIMITS }),
     { onEvents: () => undefined },
   );
-  clearInterval(others);
+  clearInterval(otherTraffic);
   t.match(outcome, { kind: "whole" });
   await server.close();
 });
 
-// One connection goes silent for good while new ones work: what the server
-// sends on these must not keep the attempt for ever.
-tap.test("a connection that alone is silent is given up later", async (t) => {
+// Guards against an attempt without a time limit. A single connection stops
+// delivering data for good while the other connections of the server work.
+tap.test("an attempt on a single unresponsive connection times out", async (t) => {
   const server = await startRawServer(() => undefined);
-  const others = setInterval(() => server.pool.recordHeard(), 10);
+  const otherTraffic = setInterval(() => server.pool.recordReceived(), 10);
   const outcome = await forward.forwardRequest(
-    buildCall(server.pool, { silence: SHORT }),
+    buildCall(server.pool, { silence: SHORT_LIMITS }),
     { onEvents: () => undefined },
   );
-  clearInterval(others);
+  clearInterval(otherTraffic);
   t.match(outcome, { kind: "failed", failure: "timeout" });
   await server.close();
 });
--- a/packages/service/given_up_test.ts
+++ b/packages/service/given_up_test.ts
@@ -1,4 +1,4 @@
-/** What still reaches a server of requests that were given up. */
+/** Tests that an abandoned request does not reach its server later. */
 import * as tapModule from "tap";
 import * as utils from "@banyangrade/utils";
 import * as testing from "@banyangrade/utils/testing.ts";
@@ -7,7 +7,7 @@
 
 const tap = tapModule.default;
 
-/** A server that gets its requests late, and connections to it. */
+/** Starts a server that receives requests late, and a connection pool for it. */
 async function startServer(t: tapModule.Test) {
   const server = await testing.startStalledServer();
   const pool = connections.createServerConnections(server.url, {
@@ -41,8 +41,9 @@
   }, { onEvents: () => undefined });
 }
 
-// Guards against a server that runs a request seconds after its caller left, since a cut link held it.
-tap.test("a request whose caller left does not reach its server later", async (t) => {
+// Guards against a server that executes a request after its caller disconnected.
+// A network interruption delays the bytes that are already written.
+tap.test("a request whose caller disconnected does not reach its server later", async (t) => {
   const { server, pool } = await startServer(t);
   const abort = new AbortController();
   const outcome = sendCall(pool, { signal: abort.signal });
@@ -52,8 +53,9 @@
   t.ok(await server.readAll() < testing.BODY_OF_STALLED_BYTES);
 });
 
-// Guards against a server that runs a request after it was tried elsewhere, since a cut link held it.
-tap.test("a request that was tried elsewhere does not reach its first server later", async (t) => {
+// Guards against a server that executes a request after it was retried on another
+// server. A network interruption delays the bytes that are already written.
+tap.test("a request that timed out does not reach its server later", async (t) => {
   const { server, pool } = await startServer(t);
   const silence = { headMs: 100, betweenMs: 100, sharesServer: false };
   const outcome = await sendCall(pool, { silence });
@@ -61,8 +63,9 @@
   t.ok(await server.readAll() < testing.BODY_OF_STALLED_BYTES);
 });
 
-// Guards against a server that runs a request after the host that sent it has stopped.
-tap.test("a request that a stop cut off does not reach its server later", async (t) => {
+// Guards against a server that executes a request after the sending host has
+// stopped. Bytes that are already written outlive a normal close.
+tap.test("a request that was interrupted by a shutdown does not reach its server later", async (t) => {
   const { server, pool } = await startServer(t);
   const outcome = sendCall(pool, {});
   await server.waitForRequest();
--- a/packages/service/mod.ts
+++ b/packages/service/mod.ts
@@ -1,6 +1,6 @@
-/** Plain services, and requests that are passed on to a server as they came. */
+/** HTTP clients for backend servers: plain service calls and unmodified request forwarding. */
 export * from "./client.ts";
 export * from "./connections.ts";
-export * from "./event_blocks.ts";
+export * from "./event_splitter.ts";
 export * from "./forward.ts";
 export * from "./silence_watch.ts";
--- a/packages/service/silence_watch.ts
+++ b/packages/service/silence_watch.ts
@@ -1,79 +1,83 @@
 /**
- * Ends an attempt whose server has gone dark. Under a burst a server that lives
- * may keep one stream waiting for long; to give up on it and send the prompt
- * elsewhere doubles the load that keeps it waiting. So a silence counts only
- * while the server is silent on its other connections too, up to a limit for a
- * connection that alone has gone silent.
+ * Aborts an attempt whose server has stopped sending data. During a load spike a
+ * healthy server may delay a single stream for a long time, and a retry on
+ * another server would add to the load that causes the delay. The inactivity
+ * limit therefore applies only while the server sends nothing on its other
+ * connections either. A higher limit applies to a single inactive connection of
+ * an active server.
  */
 import type * as connections from "./connections.ts";
 
-/** How long an attempt may keep silent. Times in ms. */
+/** Inactivity limits of an attempt. Times in ms. */
 export interface SilenceLimits {
-  /** Until the answer's head. */
+  /** Longest wait for the response headers. */
   readonly headMs: number;
-  /** Between two parts of the answer. */
+  /** Longest wait between two chunks of the response body. */
   readonly betweenMs: number;
-  /** Whether what the server sends to others shows that this one only waits. */
+  /** Whether data on other connections of the server extends the limit. */
   readonly sharesServer: boolean;
 }
 
-/** A running watch. */
-export interface SilenceWatch {
-  /** Aborted when the attempt ends, by its caller or by the watch. */
+/** Inactivity watch of one attempt. */
+export interface InactivityWatch {
+  /** Aborted by the caller's signal or by the inactivity limit. */
   readonly signal: AbortSignal;
-  /** Records that the attempt's own connection brought something. */
-  readonly recordHeard: () => void;
+  /** Records that data arrived for the attempt. */
+  readonly recordReceived: () => void;
   readonly stop: () => void;
 }
 
-/** Multiple of the limit at which the attempt ends although the server lives. */
-const HARD_FACTOR = 2.5;
-/** Part of the limit between two looks. */
-const LOOK_SHARE = 0.25;
-/** Shortest time between two looks, in ms. */
-const LEAST_LOOK_MS = 20;
-/** Largest delay of a timer, in ms. */
-const MAX_DELAY_MS = 2 ** 31 - 1;
+/** Multiple of the limit after which the attempt is aborted even if the server is active on other connections. */
+const CONNECTION_LIMIT_FACTOR = 2.5;
+/** Interval between two checks, as a fraction of the limit. */
+const CHECK_INTERVAL_FRACTION = 0.25;
+/** Shortest interval between two checks, in ms. */
+const MIN_CHECK_INTERVAL_MS = 20;
+/** Largest delay that `setTimeout` accepts, in ms. */
+const MAX_TIMER_DELAY_MS = 2 ** 31 - 1;
 
 /**
- * Starts watching an attempt.
+ * Starts the inactivity watch of an attempt.
  *
  * @example
- * const watch = watchSilence({ connections, silence, signal });
+ * const watch = watchInactivity({ connections, silence, signal });
  */
-export function watchSilence(
+export function watchInactivity(
   { connections: server, silence, signal }: {
     readonly connections: connections.ServerConnections;
     readonly silence: SilenceLimits;
     readonly signal: AbortSignal;
   },
-): SilenceWatch {
-  const own = new AbortController();
-  let heardAt = performance.now();
+): InactivityWatch {
+  const timeoutController = new AbortController();
+  let lastReceivedAt = performance.now();
   let limitMs = silence.headMs;
   let timer: NodeJS.Timeout;
 
-  function wait(ms: number): void {
-    timer = setTimeout(checkSilence, Math.min(MAX_DELAY_MS, ms));
+  function scheduleCheck(ms: number): void {
+    timer = setTimeout(checkInactivity, Math.min(MAX_TIMER_DELAY_MS, ms));
   }
 
-  function checkSilence(): void {
-    const silentMs = performance.now() - heardAt;
-    if (silentMs < limitMs) return wait(limitMs - silentMs);
-    const lives = silence.sharesServer && server.getSilence() < limitMs;
-    if (lives && silentMs < HARD_FACTOR * limitMs) {
-      return wait(Math.max(LEAST_LOOK_MS, LOOK_SHARE * limitMs));
+  function checkInactivity(): void {
+    const inactiveMs = performance.now() - lastReceivedAt;
+    if (inactiveMs < limitMs) return scheduleCheck(limitMs - inactiveMs);
+    const serverActive = silence.sharesServer &&
+      server.getInactiveMs() < limitMs;
+    if (serverActive && inactiveMs < CONNECTION_LIMIT_FACTOR * limitMs) {
+      return scheduleCheck(
+        Math.max(MIN_CHECK_INTERVAL_MS, CHECK_INTERVAL_FRACTION * limitMs),
+      );
     }
-    own.abort();
+    timeoutController.abort();
   }
 
-  wait(limitMs);
+  scheduleCheck(limitMs);
   return {
-    signal: AbortSignal.any([signal, own.signal]),
-    recordHeard: () => {
-      heardAt = performance.now();
+    signal: AbortSignal.any([signal, timeoutController.signal]),
+    recordReceived: () => {
+      lastReceivedAt = performance.now();
       limitMs = silence.betweenMs;
-      server.recordHeard();
+      server.recordReceived();
     },
     stop: () => clearTimeout(timer),
   };
