--- a/packages/caller/answers.ts
+++ b/packages/caller/answers.ts
@@ -1,8 +1,8 @@
-/** Answers to callers: refusals, whole answers and streams. */
+/** HTTP responses to callers: refusals, complete responses and event streams. */
 import type * as http from "node:http";
 import * as core from "@banyangrade/core";
 
-const STATUS: Readonly<Record<core.RefusalCode, number>> = {
+const STATUS_BY_CODE: Readonly<Record<core.RefusalCode, number>> = {
   bad_request: 400,
   not_authenticated: 401,
   not_allowed: 403,
@@ -27,11 +27,11 @@
  * getStatus(core.buildRefusal({ code: "overloaded", ran: "no" })); // 429
  */
 export function getStatus(refusal: core.Refusal): number {
-  return STATUS[refusal.code];
+  return STATUS_BY_CODE[refusal.code];
 }
 
 /**
- * Formats a refusal as the body that callers get.
+ * Formats a refusal as the JSON body of an error response.
  *
  * @example
  * formatRefusal(refusal); // '{"error":{"code":"overloaded",...}}'
@@ -44,7 +44,7 @@
   return JSON.stringify({ error: { ...rest, ...retryAfter } });
 }
 
-/** One answer on its way to a caller. */
+/** Response to one request of a caller. */
 export class CallerAnswer {
   readonly #response: http.ServerResponse;
 
@@ -52,12 +52,12 @@
     this.#response = response;
   }
 
-  /** Names the request in the answer's headers, for questions about it. */
+  /** Sets the request identifier header, by which operators find the request in the logs. */
   setRequestId(requestId: string): void {
     this.#response.setHeader("x-request-id", requestId);
   }
 
-  /** Whether any byte of an answer has been written. */
+  /** Whether the response headers have been sent. */
   hasStarted(): boolean {
     return this.#response.headersSent;
   }
@@ -66,14 +66,14 @@
     return this.#response.destroyed || this.#response.writableEnded;
   }
 
-  /** Calls back if the caller leaves before the answer is whole. */
+  /** Invokes `callback` if the caller disconnects before the response is complete. */
   watchLeft(callback: () => void): void {
     this.#response.on("close", () => {
       if (!this.#response.writableFinished) callback();
     });
   }
 
-  /** Sends a whole answer. */
+  /** Sends a complete response. */
   send(
     answer: {
       readonly status: number;
@@ -89,8 +89,8 @@
   }
 
   /**
-   * Sends a refusal. A stream that has begun ends with an error event and
-   * without its closing event, so that it cannot be taken for a whole answer.
+   * Sends a refusal. A stream that has started ends with an error event and
+   * without its final event, so that no caller takes it for a complete stream.
    */
   refuse(refusal: core.Refusal): void {
     if (this.isClosed()) return;
@@ -107,7 +107,7 @@
     }).end(body);
   }
 
-  /** Sends events of a stream; waits while the caller is slow. */
+  /** Sends events of a stream; the promise resolves when the caller can receive more. */
   async sendEvents(events: readonly string[]): Promise<void> {
     if (this.isClosed()) return;
     if (!this.hasStarted()) {
@@ -119,17 +119,17 @@
     const text = events.map((event) => `data: ${event}\n\n`).join("");
     if (this.#response.write(text)) return;
     await new Promise<void>((resolve) => {
-      const done = () => {
-        this.#response.off("drain", done);
-        this.#response.off("close", done);
+      const resume = () => {
+        this.#response.off("drain", resume);
+        this.#response.off("close", resume);
         resolve();
       };
-      this.#response.on("drain", done);
-      this.#response.on("close", done);
+      this.#response.on("drain", resume);
+      this.#response.on("close", resume);
     });
   }
 
-  /** Ends a whole stream. */
+  /** Ends a complete stream with its final event. */
   endStream(): void {
     if (!this.isClosed()) this.#response.end("data: [DONE]\n\n");
   }
--- a/packages/caller/body.ts
+++ b/packages/caller/body.ts
@@ -1,30 +1,30 @@
 /**
- * Bodies of callers' requests: read within bounds, or discarded within bounds
- * after an early answer.
+ * Reads request bodies of callers within size limits, and discards the rest of a
+ * body after an early response.
  */
 import type * as http from "node:http";
 
-/** Why a body was not taken. */
+/** Reason why a body was refused. */
 export type BodyRefusal = "too_large" | "overloaded";
 
-/** Bodies that are held in memory now, over all requests of this host. */
+/** Memory budget for the buffered bodies of all requests of this host. */
 export interface BodyBudget {
-  /** Bytes held. */
+  /** Buffered bytes. */
   used: number;
-  /** Most bytes to hold. */
+  /** Maximum number of buffered bytes. */
   readonly limit: number;
 }
 
 /** Options of {@link readBody}. */
 export interface ReadOptions {
-  /** Longest body, in bytes. */
+  /** Maximum body size, in bytes. */
   readonly limit: number;
   readonly budget: BodyBudget;
 }
 
 /**
- * Reads a body. What it holds counts against the budget until the response is
- * closed, so that many callers with large bodies cannot exhaust the memory.
+ * Reads a body. Its bytes count against the budget until the response is closed,
+ * so that many callers with large bodies cannot exhaust the memory.
  *
  * @example
  * const body = await readBody({ request, response }, { limit, budget });
@@ -44,7 +44,7 @@
   response.once("close", () => {
     budget.used -= size;
   });
-  // Without this the early return would reset the connection before the answer.
+  // `destroyOnReturn: false` keeps the connection open, so that a refusal can still be sent after an early return.
   for await (const chunk of request.iterator({ destroyOnReturn: false })) {
     const { length } = chunk as Buffer;
     if (size + length > limit) return "too_large";
@@ -57,14 +57,13 @@
 }
 
 /**
- * Discards what is still coming of a body after an early answer.
+ * Discards the rest of a body after an early response.
  *
- * Closing at once would reset the connection while the caller is still sending;
- * its kernel then throws the answer away, and the caller sees a broken
- * connection in place of the refusal. Reading on lets the answer arrive and
- * leaves the connection fit for the next request. More than `limit` bytes are
- * not read: a caller that goes on regardless is cut off. Node's request timeout
- * bounds the time.
+ * Closing the connection while the caller is still sending would reset it. The
+ * caller's kernel then drops the response, and the caller sees a connection
+ * error instead of the refusal. Reading on lets the response arrive and keeps the
+ * connection usable for the next request. The connection is closed after more
+ * than `limit` bytes; the request timeout of Node.js limits the time.
  *
  * @example
  * dropBody(request, 16 * 1024 * 1024);
@@ -73,10 +72,10 @@
   request: http.IncomingMessage,
   limit: number,
 ): void {
-  let left = limit;
+  let remaining = limit;
   request.on("data", (chunk: Buffer) => {
-    left -= chunk.length;
-    if (left < 0) request.destroy();
+    remaining -= chunk.length;
+    if (remaining < 0) request.destroy();
   });
   request.resume();
 }
--- a/packages/caller/mod.ts
+++ b/packages/caller/mod.ts
@@ -1,4 +1,4 @@
-/** Callers: the OpenAI-compatible HTTP front and the path to plain services. */
+/** HTTP server for callers: the OpenAI-compatible API and calls of plain services. */
 export * from "./answers.ts";
 export * from "./parse.ts";
 export * from "./secrets.ts";
--- a/packages/caller/parse.ts
+++ b/packages/caller/parse.ts
@@ -1,12 +1,12 @@
-/** Parsing and checking of generation requests. */
+/** Parses and validates generation requests. */
 import * as z from "zod";
 import * as utils from "@banyangrade/utils";
 
-/** Tokens an engine may generate where the caller names no limit. */
+/** Maximum number of generated tokens if the request sets none. */
 const DEFAULT_MAX_TOKENS = 1_024;
-/** Characters of a token, for estimates. */
+/** Average number of characters per token, for estimates. */
 const CHARACTERS_PER_TOKEN = 4;
-/** Start of the prompt by which a cached prefix is recognised, in characters. */
+/** Length of the prompt prefix that identifies a cache entry, in characters. */
 const PREFIX_CHARACTERS = 512;
 
 const SCHEMA = z.looseObject({
@@ -18,20 +18,20 @@
   max_completion_tokens: z.number().int().positive().optional(),
 });
 
-/** A generation request, checked. */
+/** Validated body of a generation request. */
 export interface GenerateBody {
   readonly model: string;
   readonly stream: boolean;
   readonly maxTokens: number;
   readonly promptTokens: number;
-  /** Digest of the start of the prompt. */
+  /** Digest of the prompt prefix. */
   readonly prefix: string;
-  /** The whole body. */
+  /** All fields of the body. */
   readonly value: Readonly<Record<string, unknown>>;
 }
 
 /**
- * Parses the body of a generation request. The error is a sentence for the
+ * Parses the body of a generation request. The error is a message for the
  * caller.
  *
  * @example
@@ -78,6 +78,6 @@
     const field = issue.path.join(".");
     return field === ""
       ? "The body must be a JSON object."
-      : `The field "${field}" is wrong: ${issue.message}.`;
+      : `The field "${field}" is invalid: ${issue.message}.`;
   }).join(" ");
 }
--- a/packages/caller/secrets.ts
+++ b/packages/caller/secrets.ts
@@ -1,14 +1,15 @@
-/** Removal of a caller's key from whatever goes on to a backend server. */
+/** Removes the caller's API key from requests that are forwarded to a backend server. */
 
-/** Stands where the key stood. */
-const REMOVED = "removed";
+/** Text that replaces the key. */
+const REDACTED = "removed";
 
-/** Query parameters that carry keys in common clients. */
+/** Query parameters in which common clients send API keys. */
 const KEY_PARAMETERS = ["api_key", "api-key", "apikey", "key", "access_token"];
 
 /**
- * Removes the key from a path and query: known parameters whole, and the key's
- * text wherever else it stands, also percent-encoded.
+ * Removes the key from a path and query: each query parameter that contains the
+ * key is deleted, and each path segment that contains it, also percent-encoded, is
+ * replaced.
  *
  * @example
  * removeKeyFromPath("/rooms?api_key=bg_1_x", "bg_1_x"); // "/rooms"
@@ -17,18 +18,18 @@
   const url = new URL(path, "http://host");
   KEY_PARAMETERS.filter((name) => url.searchParams.get(name) === secret)
     .forEach((name) => url.searchParams.delete(name));
-  const decoded = decodeSafely(url.pathname).includes(secret)
+  const redactedPath = decodePercentEncoding(url.pathname).includes(secret)
     ? url.pathname.split("/").map((segment) =>
-      decodeSafely(segment).includes(secret) ? REMOVED : segment
+      decodePercentEncoding(segment).includes(secret) ? REDACTED : segment
     ).join("/")
     : url.pathname;
   [...url.searchParams].filter(([name, value]) =>
     value.includes(secret) || name.includes(secret)
   ).forEach(([name]) => url.searchParams.delete(name));
-  return decoded + url.search;
+  return redactedPath + url.search;
 }
 
-function decodeSafely(text: string): string {
+function decodePercentEncoding(text: string): string {
   try {
     return decodeURIComponent(text);
   } catch {
@@ -37,7 +38,7 @@
 }
 
 /**
- * Removes headers that carry the key.
+ * Removes the headers that contain the key.
  *
  * @example
  * removeKeyFromHeaders({ "x-extra": "bg_1_x" }, "bg_1_x"); // {}
@@ -54,18 +55,18 @@
 }
 
 /**
- * Removes the key from a body of any kind.
+ * Removes the key, also percent-encoded, from a body of any content type.
  *
  * @example
  * removeKeyFromBody(Buffer.from("a bg_1_x b"), "bg_1_x").toString(); // "a removed b"
  */
 export function removeKeyFromBody(body: Buffer, secret: string): Buffer {
-  const forms = [...new Set([secret, encodeURIComponent(secret)])];
-  return forms.reduce(
-    (rest, form) =>
-      rest.includes(form)
+  const encodings = [...new Set([secret, encodeURIComponent(secret)])];
+  return encodings.reduce(
+    (rest, encoding) =>
+      rest.includes(encoding)
         ? Buffer.from(
-          rest.toString("latin1").replaceAll(form, REMOVED),
+          rest.toString("latin1").replaceAll(encoding, REDACTED),
           "latin1",
         )
         : rest,
@@ -74,21 +75,21 @@
 }
 
 /**
- * Removes the key from every string of a parsed JSON value, however it was
- * escaped in the text.
+ * Removes the key from every string and property name of a parsed JSON value,
+ * regardless of its escaping in the JSON text.
  *
  * @example
  * removeKeyFromJson({ user: "bg_1_x" }, "bg_1_x"); // { user: "removed" }
  */
 export function removeKeyFromJson(value: unknown, secret: string): unknown {
-  if (typeof value === "string") return value.replaceAll(secret, REMOVED);
+  if (typeof value === "string") return value.replaceAll(secret, REDACTED);
   if (Array.isArray(value)) {
     return value.map((one) => removeKeyFromJson(one, secret));
   }
   if (typeof value !== "object" || value === null) return value;
   return Object.fromEntries(
     Object.entries(value).map(([name, one]) => [
-      name.replaceAll(secret, REMOVED),
+      name.replaceAll(secret, REDACTED),
       removeKeyFromJson(one, secret),
     ]),
   );
--- a/packages/caller/server_test.ts
+++ b/packages/caller/server_test.ts
@@ -1,4 +1,4 @@
-/** Early answers arrive while the caller is still sending; bodies are bounded. */
+/** Tests of early responses to unfinished requests and of the limits on bodies. */
 import * as net from "node:net";
 import * as tap from "tap";
 import * as core from "@banyangrade/core";
@@ -9,9 +9,9 @@
   maxBodyBytes: 100_000,
   maxBufferedBytes: 150_000,
 };
-const GOOD = "authorization: Bearer good\r\n";
+const VALID_KEY_HEADER = "authorization: Bearer good\r\n";
 
-/** A server that answers with the length of each body of a known caller. */
+/** Starts a server that returns the length of each body that has a valid key. */
 async function startServer(t: tap.Test) {
   const held: caller.CallerRequest[] = [];
   const server = await caller.startCallerServer({
@@ -37,7 +37,7 @@
   return { server, held };
 }
 
-/** One connection whose text is awaited piece by piece. */
+/** Opens a TCP connection; `waitFor` returns the text received up to a pattern. */
 function connectRaw(t: tap.Test, port: number) {
   const socket = net.connect(port, "127.0.0.1");
   t.teardown(() => socket.destroy());
@@ -66,52 +66,56 @@
     `content-length: ${length}\r\n\r\n`;
 }
 
-// A caller sends a body that is too long, or has a wrong key, and reads only
-// once all is sent. It should see the refusal; it saw a broken connection when
-// the host closed with bytes of the body unread: the kernel then resets the
-// connection and drops the answer.
+// Guards against a connection error in place of a refusal. The caller reads only
+// after it has sent the whole body. If the host closes the connection with unread
+// bytes of the body, the kernel resets it and drops the response.
 [
-  { name: "a body that is too long", headers: GOOD, status: 413 },
+  { name: "a body that is too long", headers: VALID_KEY_HEADER, status: 413 },
   { name: "a wrong key", headers: "x-api-key: bad\r\n", status: 401 },
 ].forEach(({ name, headers, status }) =>
   tap.t.test(
-    `${name} is refused without breaking the connection`,
+    `${name} is refused without closing the connection`,
     async (t) => {
       const { server } = await startServer(t);
       const { socket, waitFor, state } = connectRaw(t, server.port);
       socket.write(formatHead(300_000, headers));
       t.match(await waitFor(/"ran":"no"/), new RegExp(`^HTTP/1.1 ${status} `));
       socket.write(Buffer.alloc(300_000, "a"));
-      socket.write(formatHead(3, GOOD) + "abc");
+      socket.write(formatHead(3, VALID_KEY_HEADER) + "abc");
       t.match(await waitFor(/length/), /^HTTP\/1.1 200 .*length 3$/s);
       t.equal(state.closed, false);
     },
   )
 );
 
-tap.t.test("a caller that sends without end is cut off", async (t) => {
-  const { server } = await startServer(t);
-  const { socket, waitFor, state } = connectRaw(t, server.port);
-  socket.write(formatHead(1_000_000_000, GOOD));
-  t.match(await waitFor(/"ran":"no"/), /^HTTP\/1.1 413 /);
-  socket.write(Buffer.alloc(500_000, "a"));
-  await waitFor(/never/);
-  t.equal(state.closed, true);
-});
+// Guards against a caller that keeps sending a refused body and occupies its
+// connection without limit.
+tap.t.test(
+  "the connection of a caller that keeps sending a refused body is closed",
+  async (t) => {
+    const { server } = await startServer(t);
+    const { socket, waitFor, state } = connectRaw(t, server.port);
+    socket.write(formatHead(1_000_000_000, VALID_KEY_HEADER));
+    t.match(await waitFor(/"ran":"no"/), /^HTTP\/1.1 413 /);
+    socket.write(Buffer.alloc(500_000, "a"));
+    await waitFor(/never/);
+    t.equal(state.closed, true);
+  },
+);
 
-// Many callers send large bodies at once. Without a bound over all of them the
-// host runs out of memory and takes every stream it serves down with it.
-tap.t.test("bodies of all callers together are bounded", async (t) => {
+// Guards against running out of memory, which would end every stream of the host.
+// Many callers send large bodies at the same time.
+tap.t.test("the total size of buffered bodies is limited", async (t) => {
   const { server, held } = await startServer(t);
   const first = connectRaw(t, server.port);
-  first.socket.write(formatHead(90_000, `${GOOD}x-hold: 1\r\n`));
+  first.socket.write(formatHead(90_000, `${VALID_KEY_HEADER}x-hold: 1\r\n`));
   first.socket.write(Buffer.alloc(90_000, "a"));
   while (held.length === 0) {
     await new Promise((resolve) => setImmediate(resolve));
   }
   const second = connectRaw(t, server.port);
   const send = () => {
-    second.socket.write(formatHead(90_000, GOOD));
+    second.socket.write(formatHead(90_000, VALID_KEY_HEADER));
     second.socket.write(Buffer.alloc(90_000, "b"));
     return second.waitFor(/"ran":"no"|length 90000/);
   };
--- a/packages/engine/client.ts
+++ b/packages/engine/client.ts
@@ -1,7 +1,7 @@
 /**
- * One attempt at an engine. A stream is passed on in whole events; its request
- * identifier and attempt are checked, and it counts as whole only with its
- * closing event.
+ * HTTP client that runs one attempt at a model engine. It checks the request
+ * identifier and the attempt number of the response and forwards a stream in
+ * complete events. A stream is complete only if its final event arrived.
  */
 import * as eventsource from "eventsource-parser";
 import * as undici from "undici";
@@ -9,47 +9,47 @@
 import * as utils from "@banyangrade/utils";
 import * as load from "./load.ts";
 
-/** Header that says how many tokens the caller already has. */
+/** Header with the number of tokens that the caller already received. */
 export const OFFSET_HEADER = "x-resume-offset";
-/** Closing event of a stream. */
+/** Data of the final event of a stream. */
 export const DONE = "[DONE]";
 
-/** What an attempt sends. */
+/** Request that an attempt sends, with its limits. */
 export interface EngineCall {
   readonly requestId: string;
   readonly attempt: number;
   readonly server: core.ServerInfo;
   readonly path: string;
-  /** The caller's body without its key, with the priority added. */
+  /** Body of the caller's request without the API key, with the priority added. */
   readonly body: string;
   readonly stream: boolean;
   readonly offset: number;
-  /** Longest wait for the first byte, in ms. */
+  /** Timeout for the response headers, in ms. */
   readonly firstByteMs: number;
-  /** Longest wait between two parts of the response, in ms. */
+  /** Timeout between two chunks of the response body, in ms. */
   readonly betweenMs: number;
   readonly signal: AbortSignal;
 }
 
-/** Where the answer goes. */
+/** Receiver of the response. */
 export interface EngineSink {
-  /** Takes a whole answer that is not a stream. */
+  /** Receives a complete response that is not a stream. */
   readonly onAnswer: (
     answer: { readonly status: number; readonly body: string },
   ) => void | Promise<void>;
-  /** Takes the data of one or more events; waits while the caller is slow. */
+  /** Receives the data of one or more events; the promise applies backpressure while the caller is slow. */
   readonly onEvents: (events: readonly string[]) => void | Promise<void>;
   readonly onLoad: (report: core.LoadReport) => void;
 }
 
-/** How an attempt ended. */
+/** Outcome of an attempt. */
 export type EngineOutcome =
   | { readonly kind: "whole"; readonly tokens: number }
   | { readonly kind: "failed"; readonly failure: core.AttemptFailure }
   | { readonly kind: "aborted" };
 
 /**
- * Runs one attempt to its end. Never rejects.
+ * Runs one attempt to its end. The promise never rejects.
  *
  * @example
  * const outcome = await runAttempt(agent, { call, sink });
@@ -68,7 +68,7 @@
       bodyTimeout: call.betweenMs,
       signal: call.signal,
     });
-    return await readAnswer(response, { call, sink });
+    return await readResponse(response, { call, sink });
   } catch (thrown) {
     if (call.signal.aborted) return { kind: "aborted" };
     return { kind: "failed", failure: utils.classifyThrown(thrown) };
@@ -84,16 +84,16 @@
   };
 }
 
-async function readAnswer(
+async function readResponse(
   response: undici.Dispatcher.ResponseData,
   { call, sink }: { readonly call: EngineCall; readonly sink: EngineSink },
 ): Promise<EngineOutcome> {
   const header = (name: string) => response.headers[name] as string | undefined;
   const report = load.parseLoad(call.server.name, header(utils.LOAD_HEADER));
   if (report !== undefined) sink.onLoad(report);
-  const own = header(utils.REQUEST_ID_HEADER) === call.requestId &&
+  const identifiersMatch = header(utils.REQUEST_ID_HEADER) === call.requestId &&
     header(utils.ATTEMPT_HEADER) === String(call.attempt);
-  if (!own) {
+  if (!identifiersMatch) {
     response.body.destroy();
     return { kind: "failed", failure: "crossed" };
   }
@@ -107,11 +107,11 @@
   }
   const body = await response.body.text();
   await sink.onAnswer({ status: response.statusCode, body });
-  return { kind: "whole", tokens: readUsage(body) };
+  return { kind: "whole", tokens: readTokenUsage(body) };
 }
 
-/** Returns the tokens generated according to the answer's own usage field. */
-function readUsage(body: string): number {
+/** Returns the number of generated tokens from the `usage` field of the response. */
+function readTokenUsage(body: string): number {
   try {
     return Number(JSON.parse(body)?.usage?.completion_tokens ?? 0);
   } catch {
@@ -132,15 +132,15 @@
   for await (const chunk of body) {
     parser.feed(decoder.decode(chunk, { stream: true }));
     const events = batch.splice(0);
-    const last = events.at(-1) === DONE;
-    const data = last ? events.slice(0, -1) : events;
-    // Another stream's event in this one is never passed on.
+    const done = events.at(-1) === DONE;
+    const data = done ? events.slice(0, -1) : events;
+    // Guards against forwarding an event of another stream: each event carries its request identifier.
     if (!data.every((event) => event.includes(call.requestId))) {
       return { kind: "failed", failure: "crossed" };
     }
     tokens += data.length;
     if (data.length > 0) await sink.onEvents(data);
-    if (last) return { kind: "whole", tokens };
+    if (done) return { kind: "whole", tokens };
   }
   return { kind: "failed", failure: "connection_lost" };
 }
--- a/packages/engine/fake.ts
+++ b/packages/engine/fake.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in for a model engine: the OpenAI-compatible paths over HTTP, timed by
- * {@link EngineModel}, with its faults switched on by a typed value.
+ * Fake model engine for tests. It serves the OpenAI-compatible paths over HTTP
+ * with the timing of {@link EngineModel} and injects the configured fault.
  */
 import * as http from "node:http";
 import type * as net from "node:net";
@@ -8,24 +8,24 @@
 import * as client from "./client.ts";
 import * as model from "./model.ts";
 
-/** What is wrong with the engine. */
+/** Fault that the fake engine injects. */
 export type EngineFault =
   | { readonly kind: "none" }
-  /** Refuses before running anything. */
+  /** Refuses each request without executing it. */
   | { readonly kind: "refuse" }
-  /** Answers 500 after having run the request. */
+  /** Responds with status 500 after executing the request. */
   | { readonly kind: "error_after_run" }
-  /** Answers with another request's identifier. */
+  /** Responds with the identifier of another request. */
   | { readonly kind: "cross" }
-  /** Breaks the connection after so many tokens of each stream. */
+  /** Closes the connection of each stream after `tokens` tokens. */
   | { readonly kind: "break_after"; readonly tokens: number }
-  /** Takes requests and never answers. */
+  /** Accepts requests and never responds. */
   | { readonly kind: "silent" }
   | { readonly kind: "slow"; readonly factor: number }
-  /** Breaks every connection when a prompt contains this text. */
+  /** Closes all connections when a request body contains `text`. */
   | { readonly kind: "crash_on"; readonly text: string };
 
-/** A request as the engine saw it, for tests. */
+/** A request that the engine received. */
 export interface SeenRequest {
   readonly requestId: string;
   readonly attempt: string;
@@ -41,21 +41,21 @@
   readonly shape?: model.EngineShape;
 }
 
-/** A running stand-in. */
+/** A running fake engine. */
 export interface FakeEngine {
   readonly url: string;
   readonly seen: readonly SeenRequest[];
   readonly setFault: (fault: EngineFault) => void;
-  /** Streams that were cancelled by the other side. */
+  /** Returns the number of requests whose client disconnected before the response was complete. */
   readonly countCancelled: () => number;
   readonly getLoad: () => { running: number; waiting: number };
   readonly close: () => Promise<void>;
 }
 
-/** Requests that `seen` keeps. */
-const SEEN_LIMIT = 5_000;
+/** Maximum number of requests that `seen` records. */
+const MAX_RECORDED_REQUESTS = 5_000;
 
-interface Running {
+interface RunningRequest {
   readonly seen: SeenRequest;
   readonly answer: http.ServerResponse;
   readonly stream: boolean;
@@ -65,9 +65,9 @@
   text: string;
 }
 
-class State {
+class EngineState {
   readonly engine: model.EngineModel;
-  readonly running = new Map<string, Running>();
+  readonly running = new Map<string, RunningRequest>();
   readonly seen: SeenRequest[] = [];
   fault: EngineFault = { kind: "none" };
   cancelled = 0;
@@ -80,7 +80,7 @@
 }
 
 /**
- * Starts an engine's stand-in on loopback.
+ * Starts a fake engine on the loopback interface.
  *
  * @example
  * const engine = await startFakeEngine({});
@@ -89,9 +89,9 @@
 export async function startFakeEngine(
   options: FakeEngineOptions,
 ): Promise<FakeEngine> {
-  const state = new State(options.shape);
+  const state = new EngineState(options.shape);
   const server = http.createServer((request, answer) => {
-    handle(state, { request, answer }).catch(() => answer.destroy());
+    handleRequest(state, { request, answer }).catch(() => answer.destroy());
   });
   server.keepAliveTimeout = 10_000;
   await new Promise<void>((resolve) =>
@@ -119,11 +119,14 @@
   readonly answer: http.ServerResponse;
 }
 
-async function handle(state: State, exchange: Exchange): Promise<void> {
+async function handleRequest(
+  state: EngineState,
+  exchange: Exchange,
+): Promise<void> {
   const { request, answer } = exchange;
   const chunks: Buffer[] = [];
   for await (const chunk of request) chunks.push(chunk as Buffer);
-  const seen = recordSeen(state, {
+  const seen = recordRequest(state, {
     request,
     body: Buffer.concat(chunks).toString("utf8"),
   });
@@ -140,20 +143,20 @@
       return;
     case "crash_on":
       if (seen.body.includes(state.fault.text)) {
-        crash(state);
+        dropRunningRequests(state);
         return void answer.destroy();
       }
-      return start(state, { seen, answer });
+      return startRequest(state, { seen, answer });
     case "none":
     case "cross":
     case "break_after":
     case "slow":
-      return start(state, { seen, answer });
+      return startRequest(state, { seen, answer });
   }
 }
 
-function recordSeen(
-  state: State,
+function recordRequest(
+  state: EngineState,
   { request, body }: { request: http.IncomingMessage; body: string },
 ): SeenRequest {
   const seen = {
@@ -163,14 +166,14 @@
     url: request.url ?? "",
     body,
   };
-  if (request.url !== "/load" && state.seen.length < SEEN_LIMIT) {
+  if (request.url !== "/load" && state.seen.length < MAX_RECORDED_REQUESTS) {
     state.seen.push(seen);
   }
   return seen;
 }
 
 function setHeaders(
-  state: State,
+  state: EngineState,
   { seen, answer }: { seen: SeenRequest; answer: http.ServerResponse },
 ): void {
   const load = state.engine.getLoad();
@@ -184,15 +187,15 @@
   );
 }
 
-/** Loses everything at once, as a crashed process does. */
-function crash(state: State): void {
+/** Drops all requests and the cache, as a process crash does. */
+function dropRunningRequests(state: EngineState): void {
   state.engine.clear();
   [...state.running.values()].forEach((one) => one.answer.destroy());
   state.running.clear();
 }
 
-function start(
-  state: State,
+function startRequest(
+  state: EngineState,
   { seen, answer }: { seen: SeenRequest; answer: http.ServerResponse },
 ): void {
   const body = JSON.parse(seen.body);
@@ -221,21 +224,21 @@
     outputTokens: total - offset,
     priority: Number(body.priority ?? 0),
   });
-  if (!state.stepping) step(state);
+  if (!state.stepping) startStep(state);
 }
 
-function step(state: State): void {
+function startStep(state: EngineState): void {
   state.stepping = !state.engine.isIdle();
   if (!state.stepping) return;
   const result = state.engine.step();
   setTimeout(() => {
     result.tokens.forEach((id) => sendToken(state, id));
-    result.finished.forEach((id) => finish(state, id));
-    step(state);
+    result.finished.forEach((id) => finishRequest(state, id));
+    startStep(state);
   }, result.ms);
 }
 
-function sendToken(state: State, id: string): void {
+function sendToken(state: EngineState, id: string): void {
   const one = state.running.get(id);
   if (one === undefined) return;
   const token = `t${one.sent} `;
@@ -253,7 +256,7 @@
   }
 }
 
-function buildChunk(one: Running, token: string): object {
+function buildChunk(one: RunningRequest, token: string): object {
   const choice = one.chat ? { delta: { content: token } } : { text: token };
   return {
     id: one.seen.requestId,
@@ -262,7 +265,7 @@
   };
 }
 
-function finish(state: State, id: string): void {
+function finishRequest(state: EngineState, id: string): void {
   const one = state.running.get(id);
   if (one === undefined) return;
   state.running.delete(id);
--- a/packages/engine/load.ts
+++ b/packages/engine/load.ts
@@ -1,10 +1,10 @@
-/** Load reports of engines. */
+/** Load reports of model engines. */
 import type * as core from "@banyangrade/core";
 import * as undici from "undici";
 import * as utils from "@banyangrade/utils";
 
 /**
- * Parses the load that an engine puts on its answers; undefined if malformed.
+ * Parses the load header of an engine's response; returns undefined if it is malformed.
  *
  * @example
  * parseLoad("engine-1", "3/0/0.5")?.running; // 3
@@ -19,7 +19,7 @@
 }
 
 /**
- * Asks an engine for its load.
+ * Requests the load of an engine; returns undefined if the request fails.
  *
  * @example
  * const report = await fetchLoad(agent, { name: "engine-1", url });
--- a/packages/engine/mod.ts
+++ b/packages/engine/mod.ts
@@ -1,3 +1,3 @@
-/** Model engines: calls with streaming, cancel and resume, and load reports. */
+/** HTTP client for model engines: streaming, cancellation, stream resumption and load reports. */
 export * from "./client.ts";
 export * from "./load.ts";
--- a/packages/engine/model.ts
+++ b/packages/engine/model.ts
@@ -1,27 +1,27 @@
 /**
- * A model of what decides an engine's latency: batched decoding that slows
- * with the batch, prefill, a prefix cache in limited memory, and priority.
- * It has no clock of its own, so the stand-in runs it in real time and the
- * bench in virtual time.
+ * Latency model of an engine: batched decoding whose step time grows with the
+ * batch size, prefill, a prefix cache of limited size, and request priorities.
+ * The model reads no clock; the fake engine runs it in real time and the bench
+ * in virtual time.
  */
 
-/** Sizes of an engine; times in ms. */
+/** Capacity and timing of an engine. Times in ms. */
 export interface EngineShape {
-  /** Most sequences decoded at a time. */
+  /** Maximum number of sequences in a batch. */
   readonly maxBatch: number;
-  /** Time of a decoding step with an empty batch. */
+  /** Duration of a decoding step with an empty batch. */
   readonly stepMs: number;
-  /** Time that each sequence adds to a step. */
+  /** Time that each sequence of the batch adds to a step. */
   readonly stepPerSequenceMs: number;
-  /** Time of one prompt token that is not cached. */
+  /** Prefill time of a prompt token that is not cached. */
   readonly prefillMsPerToken: number;
-  /** Most prompt tokens taken in by one step. */
+  /** Maximum number of prompt tokens that one step prefills. */
   readonly prefillChunk: number;
-  /** Prefixes that the cache holds. */
+  /** Capacity of the prefix cache, in prefixes. */
   readonly cachedPrefixes: number;
 }
 
-/** A common engine: about 30 ms between tokens when well loaded. */
+/** Default engine: about 30 ms between tokens under high load. */
 export const DEFAULT_SHAPE: EngineShape = {
   maxBatch: 8,
   stepMs: 18,
@@ -31,48 +31,48 @@
   cachedPrefixes: 64,
 };
 
-/** Share of a prompt that a cached prefix saves. */
-const PREFIX_SHARE = 0.8;
+/** Fraction of the prefill that a cached prefix saves. */
+const PREFIX_SAVED_FRACTION = 0.8;
 
 /** A request at an engine. */
 export interface Sequence {
   readonly id: string;
   readonly promptTokens: number;
   readonly prefix: string;
-  /** Tokens still to be generated. */
+  /** Number of tokens to generate. */
   readonly outputTokens: number;
-  /** Smaller goes first. */
+  /** Smaller values are scheduled first. */
   readonly priority: number;
 }
 
-interface Active {
+interface RunningSequence {
   readonly sequence: Sequence;
   prefillLeft: number;
   tokensLeft: number;
 }
 
-/** What one step did. */
+/** Result of one decoding step. */
 export interface StepResult {
   readonly ms: number;
-  /** Sequences that brought a token. */
+  /** Identifiers of the sequences that generated a token. */
   readonly tokens: readonly string[];
   readonly finished: readonly string[];
 }
 
-/** An engine's sequences and cache. */
+/** Simulates the queue, the batch and the prefix cache of an engine. */
 export class EngineModel {
-  /** Factor on every time; 3 is an engine slowed to a third. */
+  /** Factor on every step duration; 3 means a third of the normal speed. */
   slowdown = 1;
   readonly #shape: EngineShape;
   readonly #waiting: Sequence[] = [];
-  readonly #active = new Map<string, Active>();
+  readonly #active = new Map<string, RunningSequence>();
   readonly #cache = new Map<string, true>();
 
   constructor(shape: EngineShape = DEFAULT_SHAPE) {
     this.#shape = shape;
   }
 
-  /** Adds a sequence; higher priority goes before what waits. */
+  /** Queues a sequence in order of priority, behind waiting sequences of the same priority. */
   add(sequence: Sequence): void {
     const at = this.#waiting.findIndex((other) =>
       other.priority > sequence.priority
@@ -80,14 +80,14 @@
     this.#waiting.splice(at < 0 ? this.#waiting.length : at, 0, sequence);
   }
 
-  /** Removes a sequence wherever it is. */
+  /** Removes a sequence from the queue or the batch. */
   cancel(id: string): void {
     this.#active.delete(id);
     const at = this.#waiting.findIndex((sequence) => sequence.id === id);
     if (at >= 0) this.#waiting.splice(at, 1);
   }
 
-  /** Drops everything, as a crash does; returns what was lost. */
+  /** Drops all sequences and the cache, as a crash does; returns the identifiers of the dropped sequences. */
   clear(): string[] {
     const lost = [
       ...this.#active.keys(),
@@ -111,7 +111,7 @@
     return this.#active.size === 0 && this.#waiting.length === 0;
   }
 
-  /** Decodes one token of each sequence whose prompt has been taken in. */
+  /** Prefills prompts and decodes one token of each sequence whose prefill is complete. */
   step(): StepResult {
     this.#admit();
     const prefilled = this.#prefill();
@@ -142,7 +142,8 @@
       const cached = this.#useCache(sequence.prefix);
       this.#active.set(sequence.id, {
         sequence,
-        prefillLeft: sequence.promptTokens * (cached ? 1 - PREFIX_SHARE : 1),
+        prefillLeft: sequence.promptTokens *
+          (cached ? 1 - PREFIX_SAVED_FRACTION : 1),
         tokensLeft: sequence.outputTokens,
       });
     }
@@ -150,19 +151,19 @@
 
   #prefill(): number {
     let budget = this.#shape.prefillChunk;
-    // Priority counts for prompts too, or a dossier would hold up a label.
+    // Guards against a long low-priority prompt that delays a short high-priority one.
     const byPriority = [...this.#active.values()].toSorted((a, b) =>
       a.sequence.priority - b.sequence.priority
     );
     byPriority.forEach((one) => {
-      const taken = Math.min(budget, Math.max(0, one.prefillLeft));
-      one.prefillLeft -= taken;
-      budget -= taken;
+      const tokens = Math.min(budget, Math.max(0, one.prefillLeft));
+      one.prefillLeft -= tokens;
+      budget -= tokens;
     });
     return this.#shape.prefillChunk - budget;
   }
 
-  /** Looks a prefix up and makes it the most recently used one. */
+  /** Returns whether the cache holds a prefix, and makes it the most recently used one. */
   #useCache(prefix: string): boolean {
     if (prefix === "") return false;
     const hit = this.#cache.delete(prefix);
