--- a/packages/fleet/client.ts
+++ b/packages/fleet/client.ts
@@ -1,28 +1,28 @@
-/** Client of the fleet interface. */
+/** HTTP client of the platform's fleet API. */
 import type * as core from "@banyangrade/core";
 import * as utils from "@banyangrade/utils";
 
 const PEER = "fleet";
 
-/** A host as the platform lists it; the list lags. */
+/** A host in the platform's list, which may be out of date. */
 export interface ListedHost {
   readonly name: string;
   readonly failureDomain: string;
-  /** Address of its peer port. */
+  /** Address of the host's peer port. */
   readonly address: string;
   readonly state: "live" | "leaving";
 }
 
-/** An order for a pool's size. */
+/** Order that sets the desired number of servers of a pool. */
 export interface PoolOrder {
   readonly pool: string;
   readonly count: number;
   readonly fencingToken: number;
-  /** The same for each repetition of one order. */
+  /** Identifier of the order; retries use the same one. */
   readonly orderId: string;
 }
 
-/** The calls of the fleet interface. */
+/** Calls of the fleet API. */
 export interface FleetClient {
   readonly listHosts: () => Promise<
     utils.Result<ListedHost[], utils.StepError>
@@ -36,7 +36,7 @@
 }
 
 /**
- * Makes a client.
+ * Creates a client of the fleet API.
  *
  * @example
  * const fleet = createFleetClient("http://127.0.0.1:7400");
--- a/packages/fleet/fake.ts
+++ b/packages/fleet/fake.ts
@@ -1,19 +1,19 @@
-/** Stand-in for the fleet interface: lists of hosts and servers, and orders. */
+/** Fake fleet API for tests: lists of hosts and servers, and scaling orders. */
 import type * as core from "@banyangrade/core";
 import * as utils from "@banyangrade/utils";
 import type * as client from "./client.ts";
 
-/** What is wrong with the interface. */
+/** Fault that the fake fleet API injects. */
 export type FleetFault =
   | { readonly kind: "none" }
   | { readonly kind: "down" }
-  /** Lists show the state of some time ago. */
+  /** Lists show the state of `ms` milliseconds ago. */
   | { readonly kind: "lag"; readonly ms: number };
 
-/** A running stand-in. */
+/** A running fake fleet API. */
 export interface FakeFleet {
   readonly url: string;
-  /** Orders in the order in which they were obeyed. */
+  /** Accepted orders, oldest first. */
   readonly orders: readonly client.PoolOrder[];
   readonly setHosts: (hosts: readonly client.ListedHost[]) => void;
   readonly setServers: (
@@ -24,7 +24,7 @@
   readonly close: () => Promise<void>;
 }
 
-interface Listed {
+interface ListSnapshot {
   readonly at: number;
   readonly hosts: readonly client.ListedHost[];
   readonly servers: ReadonlyMap<string, readonly core.ServerInfo[]>;
@@ -34,12 +34,12 @@
 export interface FakeFleetOptions {
   /** @default 0, a free port */
   readonly port?: number;
-  /** Whether orders with an old fencing token are refused. @default true */
+  /** Whether orders with an outdated fencing token are refused. @default true */
   readonly checksFencing?: boolean;
 }
 
 /**
- * Starts the stand-in on loopback.
+ * Starts a fake fleet API on the loopback interface.
  *
  * @example
  * const fleet = await startFakeFleet({});
@@ -50,15 +50,15 @@
 ): Promise<FakeFleet> {
   const orders: client.PoolOrder[] = [];
   const tokens = new Map<string, number>();
-  const history: Listed[] = [{ at: 0, hosts: [], servers: new Map() }];
+  const history: ListSnapshot[] = [{ at: 0, hosts: [], servers: new Map() }];
   let fault: FleetFault = { kind: "none" };
 
-  function getListed(): Listed {
+  function getSnapshot(): ListSnapshot {
     const at = Date.now() - (fault.kind === "lag" ? fault.ms : 0);
     return history.findLast((listed) => listed.at <= at) ?? history[0];
   }
 
-  function obey(order: client.PoolOrder): utils.JsonAnswer {
+  function acceptOrder(order: client.PoolOrder): utils.JsonAnswer {
     const newest = tokens.get(order.pool) ?? 0;
     if ((options.checksFencing ?? true) && order.fencingToken < newest) {
       return { status: 409, body: { error: "old fencing token" } };
@@ -72,18 +72,18 @@
     if (fault.kind === "down") return undefined;
     const url = new URL(request.path, "http://fleet");
     if (url.pathname === "/v1/hosts") {
-      return { status: 200, body: { hosts: getListed().hosts } };
+      return { status: 200, body: { hosts: getSnapshot().hosts } };
     }
     if (url.pathname === "/v1/servers") {
       const domain = url.searchParams.get("failure_domain") ?? "";
-      const servers = getListed().servers.get(domain) ?? [];
+      const servers = getSnapshot().servers.get(domain) ?? [];
       return { status: 200, body: { servers } };
     }
     const pool = /^\/v1\/pools\/([^/]+)\/desired$/.exec(url.pathname)?.[1];
     if (pool === undefined || request.method !== "PUT") {
       return { status: 404, body: {} };
     }
-    return obey({ pool: decodeURIComponent(pool), ...request.body });
+    return acceptOrder({ pool: decodeURIComponent(pool), ...request.body });
   }
 
   const server = await utils.startJsonServer(options.port ?? 0, handle);
--- a/packages/fleet/mod.ts
+++ b/packages/fleet/mod.ts
@@ -1,3 +1,3 @@
-/** The platform's host list, backend servers and orders for them. */
+/** Client of the platform's fleet API, and scaling orders for backend servers. */
 export * from "./client.ts";
 export * from "./orders.ts";
--- a/packages/fleet/orders.ts
+++ b/packages/fleet/orders.ts
@@ -1,17 +1,17 @@
 /**
- * Orders for backend servers from the one host that holds the role. The intent
- * is written by compare-and-swap before the order is sent, and the lease is
- * checked in the same synchronous turn as the send.
+ * Sends scaling orders for backend servers from the host that holds the role. The
+ * intent is stored by compare-and-swap before the order is sent. The lease is
+ * checked again directly before the send, in the same event loop turn.
  */
 import * as core from "@banyangrade/core";
 import type * as store from "@banyangrade/store";
 import * as utils from "@banyangrade/utils";
 import type * as client from "./client.ts";
 
-/** Longest time an order may be under way, in ms; a successor waits it out. */
+/** Maximum delivery time of an order, in ms. The next lease holder waits this long before it sends. */
 export const ORDER_FLIGHT_MS = 2_500;
 
-/** What is ordered of a pool, as kept in the store. */
+/** Stored order of a pool. */
 export interface OrderIntent {
   readonly pool: string;
   readonly count: number;
@@ -27,7 +27,7 @@
   readonly getLease: () => core.LeaseState;
 }
 
-/** What became of one desired count. */
+/** Outcome of sending one desired count. */
 export type OrderOutcome =
   | { readonly kind: "sent"; readonly intent: OrderIntent }
   | { readonly kind: "unchanged" }
@@ -35,7 +35,7 @@
   | { readonly kind: "failed"; readonly error: utils.StepError };
 
 /**
- * Brings one pool's order to the fleet interface.
+ * Stores the desired count of one pool and sends the order to the fleet API.
  *
  * @example
  * const outcome = await sendDesired({ pool: "spot-a", count: 3 }, options);
@@ -51,8 +51,8 @@
   const written = await writeIntent(desired, { lease, store: options.store });
   if (written.err) return { kind: "failed", error: written.val };
   if (written.val === undefined) return { kind: "not_leader" };
-  // No await between this check and the send: a process that was paused while
-  // it wrote the intent finds out here that its lease is over.
+  // No await between this check and the send: guards against an order from a
+  // process that was paused while it stored the intent and whose lease has expired.
   if (!core.mayAct(options.getLease(), options.clock.now())) {
     return { kind: "not_leader" };
   }
@@ -62,7 +62,7 @@
     : { kind: "failed", error: sent.val };
 }
 
-/** Writes the intent; undefined if a later leader has written already. */
+/** Stores the intent; returns undefined if a later leader has already stored one. */
 async function writeIntent(
   desired: core.DesiredCount,
   { lease, store }: {
@@ -73,13 +73,13 @@
   const key = `banyangrade/orders/${desired.pool}`;
   const entry = await store.get(key);
   if (entry.err) return entry;
-  const before = entry.val && JSON.parse(entry.val.value) as OrderIntent;
-  if (before !== undefined && before.fencingToken > lease.token) {
+  const previous = entry.val && JSON.parse(entry.val.value) as OrderIntent;
+  if (previous !== undefined && previous.fencingToken > lease.token) {
     return utils.Ok(undefined);
   }
   if (
-    before?.count === desired.count && before.fencingToken === lease.token
-  ) return utils.Ok(before);
+    previous?.count === desired.count && previous.fencingToken === lease.token
+  ) return utils.Ok(previous);
   const intent: OrderIntent = {
     pool: desired.pool,
     count: desired.count,
--- a/packages/fleet/orders_fuzz_test.ts
+++ b/packages/fleet/orders_fuzz_test.ts
@@ -1,4 +1,4 @@
-/** Fuzzing of backend server orders: never from two hosts in charge at a time. */
+/** Fuzz test of scaling orders: no order of an earlier leader follows an order of a later leader. */
 import * as fc from "fast-check";
 import * as tap from "tap";
 import * as core from "@banyangrade/core";
@@ -15,11 +15,11 @@
 type Step =
   | simTesting.WorldStep
   | { readonly kind: "lease"; readonly host: number }
-  /** Takes a step towards the lease with every call answered. */
+  /** Runs one step of lease acquisition with a response to every store call. */
   | { readonly kind: "lead"; readonly host: number }
   | { readonly kind: "release"; readonly host: number }
   | { readonly kind: "order"; readonly host: number; readonly count: number }
-  /** Orders with every call of the store answered. */
+  /** Sends an order with a response to every store call. */
   | {
     readonly kind: "order_whole";
     readonly host: number;
@@ -62,7 +62,7 @@
   },
 );
 
-interface Flight {
+interface PendingOrder {
   readonly order: fleet.PoolOrder;
   readonly sentAt: number;
 }
@@ -73,9 +73,9 @@
     { length: HOSTS },
     () => ({ kind: "none" }),
   );
-  readonly flights: Flight[] = [];
-  newest = 0;
-  obeyed = 0;
+  readonly pendingOrders: PendingOrder[] = [];
+  newestToken = 0;
+  acceptedOrders = 0;
 
   async run(next: Step): Promise<void> {
     switch (next.kind) {
@@ -137,28 +137,33 @@
         listHosts: () => Promise.resolve(utils.Ok([])),
         listServers: () => Promise.resolve(utils.Ok([])),
         sendOrder: (order) => {
-          this.flights.push({ order, sentAt: this.world.now });
+          this.pendingOrders.push({ order, sentAt: this.world.now });
           return Promise.resolve(utils.Ok(undefined));
         },
       },
     });
   }
 
-  /** An order arrives at a backend server that ignores fencing tokens. */
+  /** Delivers an order to a fleet API that ignores fencing tokens. */
   #arrive(pick: number): void {
-    if (this.flights.length === 0) return;
-    const [flight] = this.flights.splice(pick % this.flights.length, 1);
-    // What is under way for longer is lost: the bound that the wait relies on.
-    if (this.world.now - flight.sentAt > fleet.ORDER_FLIGHT_MS) return;
+    if (this.pendingOrders.length === 0) return;
+    const [pending] = this.pendingOrders.splice(
+      pick % this.pendingOrders.length,
+      1,
+    );
+    // Orders are lost after the maximum delivery time, on which the wait of the next leader relies.
+    if (this.world.now - pending.sentAt > fleet.ORDER_FLIGHT_MS) return;
     simTesting.assertHolds(
-      flight.order.fencingToken >= this.newest,
-      "an order of an earlier leader arrived behind a later leader's",
+      pending.order.fencingToken >= this.newestToken,
+      "an order of an earlier leader arrived after an order of a later leader",
     );
-    this.newest = flight.order.fencingToken;
-    this.obeyed += 1;
+    this.newestToken = pending.order.fencingToken;
+    this.acceptedOrders += 1;
   }
 }
 
+// Guards against orders of two leaders at the same time. Hosts freeze, leases
+// expire and messages are lost in random order.
 tap.t.test("orders come from one leader at a time", async (t) => {
   let obeyed = 0;
   await fc.assert(
@@ -167,7 +172,7 @@
       async (steps) => {
         const harness = new Harness();
         for (const next of steps) await harness.run(next);
-        obeyed += harness.obeyed;
+        obeyed += harness.acceptedOrders;
       },
     ),
     { numRuns: RUNS, seed: SEED },
@@ -175,7 +180,7 @@
   t.ok(obeyed > RUNS / 10, `${RUNS} histories, seed ${SEED}, ${obeyed} orders`);
 });
 
-/** Runs a history that is written down. */
+/** Runs a fixed sequence of steps. */
 async function runHistory(steps: readonly Step[]): Promise<Harness> {
   const harness = new Harness();
   for (const next of steps) await harness.run(next);
@@ -183,12 +188,12 @@
 }
 
 tap.t.test(
-  "a leader that was frozen in the midst of an order does not send it",
+  "a leader that was frozen while it stored an order does not send it",
   async (t) => {
-    // An operator sees a pool jump back to an old size. Host 0 wrote its intent
-    // and was stopped before it got the answer; its lease ran out; host 1 took
-    // the role and ordered; then host 0 went on where it had stopped. Only a
-    // check in the same turn as the send, on a clock that went on, tells it.
+    // Guards against a pool that returns to an outdated size. Host 0 stores its
+    // intent and is frozen before it receives the response. Its lease expires, host 1
+    // acquires the role and sends an order, then host 0 resumes. The lease must be
+    // checked in the same turn as the send, on a clock that runs while frozen.
     const harness = await runHistory([
       { kind: "lead", host: 0 },
       { kind: "advance", ms: 2_600 },
@@ -204,14 +209,14 @@
       { kind: "thaw", host: 0 },
       { kind: "arrive", pick: 0 },
     ]);
-    t.equal(harness.obeyed, 1, "only the order of host 1 arrived");
+    t.equal(harness.acceptedOrders, 1, "only the order of host 1 arrived");
   },
 );
 
 tap.t.test("a slow acquisition does not lengthen the lease", async (t) => {
-  // Two hosts order at one time. The store granted host 0 its lease at once,
-  // but the answer to the claim of the role came 5 s later. Counted from the
-  // answer, the lease would seem to last 5 s longer than the store keeps it.
+  // Guards against orders of two hosts at the same time. The store grants the lease
+  // of host 0 at once, but its response to the claim of the role arrives 5 s later.
+  // Counted from that response, the lease would seem to last 5 s too long.
   const harness = await runHistory([
     { kind: "lease", host: 0 },
     { kind: "deliver", pick: 0, fate: "answered" },
@@ -226,5 +231,5 @@
     { kind: "order_whole", host: 0, count: 1 },
     { kind: "arrive", pick: 0 },
   ]);
-  t.equal(harness.obeyed, 1);
+  t.equal(harness.acceptedOrders, 1);
 });
--- a/packages/operator/publish.ts
+++ b/packages/operator/publish.ts
@@ -1,14 +1,14 @@
-/** Publication: from service files to a committed revision. */
+/** Publishes the parts of the service files as a configuration revision. */
 import * as core from "@banyangrade/core";
 import * as store from "@banyangrade/store";
 import * as utils from "@banyangrade/utils";
 
-/** Kinds of parts that service files own; keys are made by their own command. */
+/** Kinds of configuration parts that service files define. API keys are managed by a separate command. */
 export const OWNED_KINDS = ["class", "customer", "pool", "service"] as const;
-/** Tries of a change that needs no decision by its operator after losing a race. */
-const COMMIT_TRIES = 5;
+/** Maximum number of attempts to commit a change that conflicts with concurrent changes. */
+const MAX_COMMIT_ATTEMPTS = 5;
 
-/** What a publication came to. */
+/** Outcome of a publication. */
 export type PublishOutcome =
   | { readonly kind: "unchanged"; readonly revision: number }
   | {
@@ -18,7 +18,8 @@
   | { readonly kind: "overtaken"; readonly by: core.ConfigChange };
 
 /**
- * Publishes the wanted parts.
+ * Publishes the given parts, and removes published parts of {@link OWNED_KINDS}
+ * that are not among them.
  *
  * @example
  * const outcome = await publishParts(client, { parts, author: "ana" });
@@ -55,8 +56,9 @@
 }
 
 /**
- * Commits a change that is right whatever others publish meanwhile, such as a
- * key's creation or withdrawal, again behind whoever won the race.
+ * Commits a change and retries it after a conflict with a concurrent change. Only
+ * for changes that do not depend on the rest of the configuration, such as the
+ * creation or withdrawal of a key.
  *
  * @example
  * await commitAgain(client, { difference: { puts: [part], removes: [] }, author });
@@ -68,7 +70,7 @@
     readonly author: string;
   },
 ): Promise<utils.Result<core.ConfigChange, utils.StepError>> {
-  for (let attempt = 0; attempt < COMMIT_TRIES; attempt += 1) {
+  for (let attempt = 0; attempt < MAX_COMMIT_ATTEMPTS; attempt += 1) {
     const read = await store.readConfiguration(
       client,
       core.EMPTY_CONFIGURATION,
@@ -86,6 +88,7 @@
   return utils.Err(utils.createStepError("conflict", {
     step: "operator.commit",
     peer: "store",
-    message: `Others published first ${COMMIT_TRIES} times; try again.`,
+    message:
+      `${MAX_COMMIT_ATTEMPTS} attempts conflicted with concurrent changes; try again.`,
   }));
 }
--- a/packages/operator/service_file.ts
+++ b/packages/operator/service_file.ts
@@ -1,6 +1,6 @@
 /**
- * Service files: short TOML files beside each service's code. Publication
- * collects all of them into the parts of one configuration.
+ * Reads service files: TOML files next to the code of each service, which are
+ * published together as the parts of one configuration.
  */
 import * as fs from "node:fs";
 import * as path from "node:path";
@@ -8,28 +8,31 @@
 import * as core from "@banyangrade/core";
 import * as utils from "@banyangrade/utils";
 
-/** Ending of a service file's name. */
-export const SERVICE_FILE_ENDING = ".banyangrade.toml";
+/** File name suffix of service files. */
+export const SERVICE_FILE_SUFFIX = ".banyangrade.toml";
 
 const NAME = z.string().regex(/^[a-z0-9][a-z0-9_.-]*$/, {
-  error: "A name has lower-case letters, digits, '.', '-' and '_'.",
+  error:
+    "A name must begin with a lower-case letter or digit and may contain only lower-case letters, digits, '.', '-' and '_'.",
 });
-const MS = z.number().positive();
+const MILLISECONDS = z.number().positive();
 
-/** What a service file holds. */
+/** Schema of a service file. */
 export const SERVICE_FILE_SCHEMA = z.strictObject({
   class: z.array(z.strictObject({
     name: NAME.describe("Name of the service class."),
     tier: z.number().int().min(1).max(99).describe(
       "Priority tier; 1 is the highest.",
     ),
-    first_token_ms: MS.describe(
+    first_token_ms: MILLISECONDS.describe(
       "Target for the time to first token, or for a plain service's answer.",
     ),
-    between_tokens_ms: MS.default(50).describe(
+    between_tokens_ms: MILLISECONDS.default(50).describe(
       "Target for the time between tokens.",
     ),
-    queue_ms: MS.describe("Longest time a request may wait before it starts."),
+    queue_ms: MILLISECONDS.describe(
+      "Longest time a request may wait before it starts.",
+    ),
     share: z.number().min(0).max(0.5).default(0).describe(
       "Guaranteed share of each pool's slots under overload.",
     ),
@@ -86,7 +89,7 @@
 type ServiceFile = z.infer<typeof SERVICE_FILE_SCHEMA>;
 
 /**
- * Collects every service file below a folder and checks the whole.
+ * Reads all service files below a folder and checks that they are consistent.
  *
  * @example
  * const parts = collectParts("services").unwrap();
@@ -98,8 +101,8 @@
   if (files.length === 0) {
     return utils.Err([buildProblem(folder, {
       option: "",
-      message: "There is no service file.",
-      remedy: `Service files end in "${SERVICE_FILE_ENDING}".`,
+      message: "The folder contains no service file.",
+      remedy: `Service files end in "${SERVICE_FILE_SUFFIX}".`,
     })]);
   }
   const read = files.map((file) => ({
@@ -113,16 +116,16 @@
   const found = read.flatMap(({ file, content }) =>
     toParts(content.unwrap()).map((part) => ({ file, part }))
   );
-  const wrong = checkParts(found);
-  return wrong.length > 0
-    ? utils.Err(wrong)
+  const inconsistencies = checkParts(found);
+  return inconsistencies.length > 0
+    ? utils.Err(inconsistencies)
     : utils.Ok(found.map(({ part }) => part));
 }
 
 function listServiceFiles(folder: string): string[] {
   if (!fs.existsSync(folder)) return [];
   return fs.readdirSync(folder, { recursive: true, encoding: "utf8" })
-    .filter((name) => name.endsWith(SERVICE_FILE_ENDING))
+    .filter((name) => name.endsWith(SERVICE_FILE_SUFFIX))
     .toSorted()
     .map((name) => path.join(folder, name));
 }
@@ -167,21 +170,24 @@
   readonly part: core.ConfigPart;
 }
 
-/** Checks what one file alone cannot show: doubles and references. */
+/** Checks the parts of all files for duplicates, invalid references and excessive shares. */
 function checkParts(found: readonly FoundPart[]): utils.FileProblem[] {
   const seen = new Map<string, string>();
-  const doubles = found.flatMap(({ file, part }) => {
+  const duplicates = found.flatMap(({ file, part }) => {
     const id = core.getPartId(part);
     const first = seen.get(id);
     seen.set(id, file);
     if (first === undefined) return [];
     return [buildProblem(file, {
       option: id,
-      message: `It stands in ${first} too.`,
-      remedy: "Keep one of the two.",
+      message: `It is already defined in ${first}.`,
+      remedy: "Remove one of the two definitions.",
     })];
   });
-  return [...doubles, ...found.flatMap((one) => checkReferences(one, found))];
+  return [
+    ...duplicates,
+    ...found.flatMap((one) => checkReferences(one, found)),
+  ];
 }
 
 function checkReferences(
@@ -205,13 +211,13 @@
   return missing.map(({ option, name }) =>
     buildProblem(file, {
       option: `customer.${part.name}.${option}`,
-      message: `Nothing is named "${name}".`,
-      remedy: "Correct the name, or add what it names.",
+      message: `"${name}" is not defined.`,
+      remedy: "Correct the name, or add a definition for it.",
     })
   );
 }
 
-/** Shares that add up to too much would leave the upper tiers nothing. */
+/** Checks that the sum of the guaranteed shares leaves capacity for the higher tiers. */
 function checkShares(
   { file, part }: FoundPart,
   found: readonly FoundPart[],
--- a/packages/usage/client.ts
+++ b/packages/usage/client.ts
@@ -1,10 +1,10 @@
-/** Client of the usage interface. */
+/** HTTP client of the platform's usage API. */
 import * as core from "@banyangrade/core";
 import * as utils from "@banyangrade/utils";
 
-/** The calls of the usage interface. */
+/** Calls of the usage API. */
 export interface UsageClient {
-  /** Reports a fixed window; the same identifier with the same figures may be sent again. */
+  /** Reports a finalized window. The call is idempotent: the same window with the same figures may be sent again. */
   readonly report: (
     window: core.FinalWindow,
     fencingToken: number,
@@ -12,7 +12,7 @@
 }
 
 /**
- * Makes a client.
+ * Creates a client of the usage API.
  *
  * @example
  * const usage = createUsageClient("http://127.0.0.1:7500");
--- a/packages/usage/fake.ts
+++ b/packages/usage/fake.ts
@@ -1,33 +1,33 @@
-/** Stand-in for the usage interface; it notes every contradiction it is told. */
+/** Fake usage API for tests; it records contradictory reports of the same window. */
 import type * as core from "@banyangrade/core";
 import * as utils from "@banyangrade/utils";
 
-/** What is wrong with the interface. */
+/** Fault that the fake usage API injects. */
 export type UsageFault =
   | { readonly kind: "none" }
   | { readonly kind: "down" }
-  /** Takes the report, but the answer is lost. */
+  /** Stores the report, but closes the connection without a response. */
   | { readonly kind: "lose_answers" };
 
-/** A report as it arrived first. */
+/** First report of a window. */
 export interface ReportedWindow {
   readonly figures: core.UsageTable;
   readonly adjustments: readonly core.Adjustment[];
   readonly fencingToken: number;
 }
 
-/** A running stand-in. */
+/** A running fake usage API. */
 export interface FakeUsage {
   readonly url: string;
   readonly windows: ReadonlyMap<string, ReportedWindow>;
-  /** Windows that were reported again with other figures. */
+  /** Identifiers of windows that were reported again with different figures. */
   readonly contradictions: readonly string[];
   readonly setFault: (fault: UsageFault) => void;
   readonly close: () => Promise<void>;
 }
 
 /**
- * Starts the stand-in on loopback.
+ * Starts a fake usage API on the loopback interface.
  *
  * @example
  * const usage = await startFakeUsage(0);
--- a/packages/usage/mod.ts
+++ b/packages/usage/mod.ts
@@ -1,3 +1,3 @@
-/** The platform's interface for usage reports. */
+/** Usage reporting to the platform. */
 export * from "./client.ts";
 export * from "./reporter.ts";
--- a/packages/usage/reporter.ts
+++ b/packages/usage/reporter.ts
@@ -1,19 +1,19 @@
 /**
- * Fixes and reports usage windows from the one host that holds the role. A
- * window's figures are created in the store before they are sent; creating is
- * possible once, so whoever sends, sends the same figures.
+ * Finalizes and reports usage windows on the host that holds the role. The figures
+ * of a window are stored before they are sent. The store accepts the record of a
+ * window only once, so every host sends the same figures.
  */
 import * as core from "@banyangrade/core";
 import * as store from "@banyangrade/store";
 import * as utils from "@banyangrade/utils";
 import type * as client from "./client.ts";
 
-/** Most windows fixed in one round, so that a backlog after an outage does not hold up the rest. */
-const WINDOWS_PER_ROUND = 20;
-/** Windows kept in the store after they were reported. */
-const KEPT_WINDOWS = 10;
+/** Maximum number of windows finalized in one round, so that a backlog after an outage does not delay the other steps of the round. */
+const MAX_WINDOWS_PER_ROUND = 20;
+/** Number of reported windows that the store retains. */
+const RETAINED_WINDOWS = 10;
 
-/** Longest time a report may be under way, in ms; a successor waits it out. */
+/** Maximum delivery time of a report, in ms. The next lease holder waits this long before it sends. */
 export const REPORT_FLIGHT_MS = 2_500;
 
 /** Options of {@link reportWindows}. */
@@ -27,19 +27,19 @@
     "setCounted" | "buildWindow"
   >;
   readonly failureDomain: string;
-  /** The newest window that is over, grace included. */
+  /** Number of the newest window whose grace period has ended. */
   readonly lastClosed: number;
 }
 
-/** What one round did. */
+/** Result of one round. */
 export interface ReportRound {
   readonly fixed: number;
   readonly reported: number;
-  /** Set if the round ended early. */
+  /** Error that ended the round early, if any. */
   readonly error?: utils.StepError;
 }
 
-/** A fixed window and whether it was reported, as kept in the store. */
+/** Stored record of a finalized window. */
 interface WindowRecord {
   readonly fixed: core.FinalWindow;
   readonly reported: boolean;
@@ -51,7 +51,7 @@
 }
 
 /**
- * Fixes the windows that are over and reports those that are not yet reported.
+ * Finalizes the windows whose grace period has ended and reports the unreported ones.
  *
  * @example
  * const round = await reportWindows({ store, usage, collector, ...rest });
@@ -64,10 +64,10 @@
   const newest = listed.val.at(-1);
   options.collector.setCounted(newest?.record.fixed.counted ?? {});
   const fixed = await fixWindows(newest?.record.fixed.window, options);
-  const waiting = [...listed.val, ...fixed.windows]
+  const unreported = [...listed.val, ...fixed.windows]
     .filter((stored) => !stored.record.reported);
-  const reported = await reportFixed(waiting, options);
-  await dropOld(listed.val, options);
+  const reported = await reportFixed(unreported, options);
+  await dropReported(listed.val, options);
   return {
     fixed: fixed.windows.length,
     reported: reported.count,
@@ -75,18 +75,20 @@
   };
 }
 
-function getPrefix(failureDomain: string): string {
+function getStorePrefix(failureDomain: string): string {
   return `banyangrade/usage/${failureDomain}/`;
 }
 
-function getKey(failureDomain: string, window: number): string {
-  return getPrefix(failureDomain) + String(window).padStart(12, "0");
+function getStoreKey(failureDomain: string, window: number): string {
+  return getStorePrefix(failureDomain) + String(window).padStart(12, "0");
 }
 
 async function listWindows(
   options: ReportOptions,
 ): Promise<utils.Result<StoredWindow[], utils.StepError>> {
-  const listed = await options.store.list(getPrefix(options.failureDomain));
+  const listed = await options.store.list(
+    getStorePrefix(options.failureDomain),
+  );
   return listed.map((entries) =>
     entries.map((entry) => ({
       entry,
@@ -101,7 +103,7 @@
 ): Promise<{ windows: StoredWindow[]; error?: utils.StepError }> {
   const windows: StoredWindow[] = [];
   const first = newest === undefined ? options.lastClosed : newest + 1;
-  const last = Math.min(options.lastClosed, first + WINDOWS_PER_ROUND - 1);
+  const last = Math.min(options.lastClosed, first + MAX_WINDOWS_PER_ROUND - 1);
   for (let window = first; window <= last; window += 1) {
     const fixed = await fixWindow(window, options);
     if (fixed.err) return { windows, error: fixed.val };
@@ -111,7 +113,7 @@
   return { windows };
 }
 
-/** Creates a window's record, or reads the one that another holder created. */
+/** Creates the record of a window, or returns the record that another lease holder created. */
 async function fixWindow(
   window: number,
   options: ReportOptions,
@@ -121,10 +123,10 @@
     fixed: options.collector.buildWindow(window, failureDomain),
     reported: false,
   };
-  const key = getKey(failureDomain, window);
+  const key = getStoreKey(failureDomain, window);
   const value = JSON.stringify(record);
   if (!core.isLeaseHeld(options.getLease(), options.clock.now())) {
-    return utils.Err(buildNotLeader("usage.fix"));
+    return utils.Err(buildNotLeaderError("usage.fix"));
   }
   const swapped = await store.swapAndConfirm(options.store, {
     key,
@@ -137,31 +139,31 @@
     return utils.Ok({ entry: { key, value, modRevision }, record });
   }
   const current = swapped.val.current;
-  if (current === undefined) return utils.Err(buildNotLeader("usage.fix"));
+  if (current === undefined) return utils.Err(buildNotLeaderError("usage.fix"));
   return utils.Ok({
     entry: current,
     record: JSON.parse(current.value) as WindowRecord,
   });
 }
 
-function buildNotLeader(step: string): utils.StepError {
+function buildNotLeaderError(step: string): utils.StepError {
   return utils.createStepError("conflict", {
     step,
     peer: "store",
-    message: "Another host reports for this failure domain now.",
+    message: "Another host now reports usage for this failure domain.",
   });
 }
 
 async function reportFixed(
-  waiting: readonly StoredWindow[],
+  unreported: readonly StoredWindow[],
   options: ReportOptions,
 ): Promise<{ count: number; error?: utils.StepError }> {
   let count = 0;
-  for (const stored of waiting) {
+  for (const stored of unreported) {
     const lease = options.getLease();
-    // Checked in the same turn as the send, like an order.
+    // No await between this check and the send: guards against a report after the lease has expired.
     if (lease.kind === "none" || !core.mayAct(lease, options.clock.now())) {
-      return { count, error: buildNotLeader("usage.report") };
+      return { count, error: buildNotLeaderError("usage.report") };
     }
     const sent = await options.usage.report(stored.record.fixed, lease.token);
     if (sent.err) return { count, error: sent.val };
@@ -175,11 +177,11 @@
   return { count };
 }
 
-async function dropOld(
+async function dropReported(
   listed: readonly StoredWindow[],
   options: ReportOptions,
 ): Promise<void> {
-  const old = listed.slice(0, -KEPT_WINDOWS)
+  const old = listed.slice(0, -RETAINED_WINDOWS)
     .filter((stored) => stored.record.reported);
   for (const { entry } of old) {
     await options.store.swap({
--- a/packages/usage/reporter_fuzz_test.ts
+++ b/packages/usage/reporter_fuzz_test.ts
@@ -1,4 +1,4 @@
-/** Fuzzing of usage windows: fixed once, reported alike, nothing lost or doubled. */
+/** Fuzz test of usage reporting: windows are finalized once, and no usage is lost or counted twice. */
 import * as fc from "fast-check";
 import * as tap from "tap";
 import * as core from "@banyangrade/core";
@@ -21,7 +21,7 @@
     readonly host: number;
     readonly to: number;
     readonly lost: boolean;
-    /** Only the newest batch arrives, the ones before it do not. */
+    /** Only the newest batch arrives; earlier batches are lost. */
     readonly gap: boolean;
   }
   | { readonly kind: "lead"; readonly host: number }
@@ -90,7 +90,7 @@
   alive: boolean;
 }
 
-interface Flight {
+interface PendingReport {
   readonly window: core.FinalWindow;
   readonly token: number;
   readonly sentAt: number;
@@ -101,10 +101,10 @@
   readonly world = new simTesting.SimWorld();
   readonly hosts: SimHost[] = [0, 1, 2].map((index) => this.#createHost(index));
   readonly gone: SimHost[] = [];
-  readonly flights: Flight[] = [];
+  readonly pendingReports: PendingReport[] = [];
   readonly reported = new Map<string, string>();
   readonly windows = new Map<string, core.FinalWindow>();
-  newest = 0;
+  newestToken = 0;
   crashes = 0;
 
   #createHost(index: number): SimHost {
@@ -145,7 +145,7 @@
     }
   }
 
-  /** A host that crashed and came back runs its tasks beside the lost ones. */
+  /** Starts a task of a host. Tasks of its crashed predecessor may still be pending. */
   async #spawn(name: "lease" | "report", host: number): Promise<void> {
     const one = this.hosts[host];
     await this.world.spawn(
@@ -178,7 +178,7 @@
     const to = this.hosts[next.to];
     const batches = from.ledger.listBatches();
     to.collector.add(next.gap ? batches.slice(-1) : batches);
-    // The batches arrived, but their sender may not learn it.
+    // If the acknowledgement is lost, the sender does not learn that the batches arrived.
     if (!next.lost) from.ledger.acknowledge(to.collector.getCounted());
   }
 
@@ -212,7 +212,7 @@
               peer: "usage",
               message: "No answer.",
             }));
-            this.flights.push({
+            this.pendingReports.push({
               window,
               token,
               sentAt: this.world.now,
@@ -225,25 +225,31 @@
   }
 
   #arrive(next: { pick: number; answered: boolean }): void {
-    if (this.flights.length === 0) return;
-    const [flight] = this.flights.splice(next.pick % this.flights.length, 1);
-    const late = this.world.now - flight.sentAt > usage.REPORT_FLIGHT_MS;
-    flight.answer(next.answered && !late);
+    if (this.pendingReports.length === 0) return;
+    const [pending] = this.pendingReports.splice(
+      next.pick % this.pendingReports.length,
+      1,
+    );
+    const late = this.world.now - pending.sentAt > usage.REPORT_FLIGHT_MS;
+    pending.answer(next.answered && !late);
     if (late) return;
     simTesting.assertHolds(
-      flight.token >= this.newest,
-      "two hosts in charge reported at one time",
+      pending.token >= this.newestToken,
+      "a report of an earlier lease holder arrived after a later holder's report",
     );
-    this.newest = flight.token;
-    const id = core.getWindowId("a", flight.window.window);
+    this.newestToken = pending.token;
+    const id = core.getWindowId("a", pending.window.window);
     const text = utils.formatCanonical([
-      flight.window.figures,
-      flight.window.adjustments,
+      pending.window.figures,
+      pending.window.adjustments,
     ]);
     const before = this.reported.get(id) ?? text;
-    simTesting.assertHolds(before === text, "a window with two figures");
+    simTesting.assertHolds(
+      before === text,
+      "a window was reported with different figures",
+    );
     this.reported.set(id, text);
-    this.windows.set(id, flight.window);
+    this.windows.set(id, pending.window);
   }
 
   #crash(host: number): void {
@@ -254,7 +260,7 @@
     this.world.store.thaw(this.world.getName(host));
   }
 
-  /** Ends all faults; every surviving host's usage must then be in a report. */
+  /** Ends all faults and checks that the usage of every surviving host is reported. */
   async settle(): Promise<void> {
     await this.world.settle(HOSTS);
     for (let round = 0; round < 12; round += 1) {
@@ -275,7 +281,7 @@
     for (let host = 0; host < HOSTS; host += 1) {
       await this.run({ kind: "report", host });
       await this.world.answerAll();
-      while (this.flights.length > 0) {
+      while (this.pendingReports.length > 0) {
         await this.run({ kind: "arrive", pick: 0, answered: true });
         await this.world.answerAll();
       }
@@ -290,42 +296,47 @@
     this.hosts.forEach((one) =>
       simTesting.assertHolds(
         (counted[one.source]?.requests ?? 0) === one.recorded,
-        `usage lost or doubled: ${one.source} recorded ${one.recorded}, ` +
+        `usage lost or counted twice: ${one.source} recorded ${one.recorded}, ` +
           `reported ${counted[one.source]?.requests ?? 0}`,
       )
     );
     this.gone.forEach((one) =>
       simTesting.assertHolds(
         (counted[one.source]?.requests ?? 0) <= one.recorded,
-        "usage of a crashed host was doubled",
+        "usage of a crashed host was counted twice",
       )
     );
   }
 }
 
-tap.t.test("windows are reported once and alike", async (t) => {
-  let windows = 0;
-  await fc.assert(
-    fc.asyncProperty(
-      fc.array(step, { minLength: 60, maxLength: 200, size: "max" }),
-      async (steps) => {
-        const harness = new Harness();
-        for (const next of steps) await harness.run(next);
-        await harness.settle();
-        windows += harness.windows.size;
-      },
-    ),
-    { numRuns: RUNS, seed: SEED },
-  );
-  t.ok(windows > RUNS, `${RUNS} histories, seed ${SEED}, ${windows} windows`);
-});
+// Guards against usage that is lost, counted twice or reported with different
+// figures. Hosts freeze, crash and lose messages in random order.
+tap.t.test(
+  "windows are reported with the same figures and without loss",
+  async (t) => {
+    let windows = 0;
+    await fc.assert(
+      fc.asyncProperty(
+        fc.array(step, { minLength: 60, maxLength: 200, size: "max" }),
+        async (steps) => {
+          const harness = new Harness();
+          for (const next of steps) await harness.run(next);
+          await harness.settle();
+          windows += harness.windows.size;
+        },
+      ),
+      { numRuns: RUNS, seed: SEED },
+    );
+    t.ok(windows > RUNS, `${RUNS} histories, seed ${SEED}, ${windows} windows`);
+  },
+);
 
 tap.t.test(
-  "a reporter that was frozen does not report beside its successor",
+  "a host that was frozen does not report after its lease has expired",
   async (t) => {
-    // The billing department gets one window from two hosts. Host 0 had fixed a
-    // window and was stopped before it got the answer; its lease ran out; host 1
-    // took the role, had heard of more usage, and reported; then host 0 went on.
+    // Guards against two hosts that report the same window. Host 0 finalizes a window
+    // and is frozen before it receives the store's response. Its lease expires, host
+    // 1 acquires the role and reports more usage, then host 0 resumes.
     const harness = new Harness();
     const steps: Step[] = [
       { kind: "lead", host: 0 },
@@ -353,6 +364,6 @@
     for (const next of steps) await harness.run(next);
     t.ok(harness.windows.size >= 1);
     await harness.settle();
-    t.pass("settled without loss");
+    t.pass("all usage was reported without loss");
   },
 );
--- a/packages/utils/address.ts
+++ b/packages/utils/address.ts
@@ -1,13 +1,13 @@
-/** Addresses as settings give them. */
+/** Parses network addresses from settings. */
 
-/** An IP number and a port. */
+/** An IP address and a port. */
 export interface Address {
   readonly hostname: string;
   readonly port: number;
 }
 
 /**
- * Splits an address.
+ * Splits an address of the form `host:port`; brackets around an IPv6 address are removed.
  *
  * @example
  * splitAddress("127.0.0.1:80").port; // 80
--- a/packages/utils/backend.ts
+++ b/packages/utils/backend.ts
@@ -1,17 +1,17 @@
-/** What calls to backend servers of every kind have in common. */
+/** Headers, error classification and connection pool for calls to backend servers. */
 import * as undici from "undici";
 import * as resettingClient from "./resetting_client.ts";
 
-/** Header that ties an answer to its request. */
+/** Header with the request identifier, which the response echoes. */
 export const REQUEST_ID_HEADER = "x-request-id";
-/** Header that ties an answer to its attempt. */
+/** Header with the attempt number, which the response echoes. */
 export const ATTEMPT_HEADER = "x-attempt";
-/** Set to `no` by a backend server that refused without running anything. */
+/** Header that a backend server sets to `no` if it refused the request without executing it. */
 export const RAN_HEADER = "x-ran";
-/** Load as `running/waiting/cacheFree`, on each answer of an engine. */
+/** Header of engine responses with the load as `running/waiting/cacheFree`. */
 export const LOAD_HEADER = "x-load";
 
-/** Codes that prove that no byte of a request was sent. */
+/** Error codes which prove that no byte of the request was sent. */
 const NOT_SENT_CODES = new Set([
   "ECONNREFUSED",
   "EHOSTUNREACH",
@@ -25,12 +25,12 @@
   "UND_ERR_BODY_TIMEOUT",
 ]);
 
-/** How a call failed below HTTP. */
+/** Transport failure of a call. */
 export type TransportFailure = "not_sent" | "timeout" | "connection_lost";
 
 /**
- * Classifies what undici threw. Everything that is not a failure to connect
- * counts as sent.
+ * Classifies an error of undici. Every error except a failure to connect counts
+ * as sent.
  *
  * @example
  * classifyThrown(error); // "connection_lost"
@@ -42,9 +42,9 @@
 }
 
 /**
- * Makes the connection pool towards backend servers. Idle connections are
- * closed before a server would close them, since a call that is sent into a
- * closing connection has an unknown outcome.
+ * Creates the connection pool for backend servers. Idle connections are closed
+ * before the server would close them, because a call that is sent while the server
+ * closes the connection has an unknown outcome.
  *
  * @example
  * const agent = createBackendAgent();
@@ -62,8 +62,8 @@
   });
 }
 
-/** Headers that concern one connection only. */
-const HOP_HEADERS: ReadonlySet<string> = new Set([
+/** Hop-by-hop headers, which apply to a single connection. */
+const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   "connection",
   "expect",
   "keep-alive",
@@ -75,9 +75,9 @@
   "upgrade",
 ]);
 
-/** Headers that belong to one connection, or that only this system sets. */
+/** Hop-by-hop headers, and headers that the host itself sets or must not forward. */
 const DROPPED_HEADERS: ReadonlySet<string> = new Set([
-  ...HOP_HEADERS,
+  ...HOP_BY_HOP_HEADERS,
   "authorization",
   "content-length",
   "cookie",
@@ -90,7 +90,7 @@
 ]);
 
 /**
- * Keeps the headers of a message that may be passed on.
+ * Returns the headers of a message that may be forwarded.
  *
  * @example
  * const headers = filterHeaders(request.headers);
@@ -106,8 +106,8 @@
 }
 
 /**
- * Drops the headers that concern one connection only, those that the message
- * itself names as such included, and the names in `reserved`.
+ * Removes hop-by-hop headers, including those that the `connection` header names,
+ * and the headers in `reserved`.
  *
  * @example
  * const headers = dropHopHeaders(request.headers, new Set(["x-tenant"]));
@@ -116,14 +116,14 @@
   headers: Readonly<Record<string, string | string[] | undefined>>,
   reserved: ReadonlySet<string> = new Set(),
 ): Record<string, string | string[]> {
-  const named = new Set(
+  const connectionHeaders = new Set(
     String(headers.connection ?? "").toLowerCase().split(",")
       .map((name) => name.trim()),
   );
   return Object.fromEntries(
     Object.entries(headers).filter((entry): entry is [string, string] =>
-      entry[1] !== undefined && !HOP_HEADERS.has(entry[0]) &&
-      !named.has(entry[0]) && !reserved.has(entry[0])
+      entry[1] !== undefined && !HOP_BY_HOP_HEADERS.has(entry[0]) &&
+      !connectionHeaders.has(entry[0]) && !reserved.has(entry[0])
     ),
   );
 }
--- a/packages/utils/clock.ts
+++ b/packages/utils/clock.ts
@@ -1,28 +1,28 @@
-/** Clocks as values, so that decisions and tests can run on virtual time. */
+/** Clock interface, so that decisions and tests can run on virtual time. */
 import * as timers from "node:timers/promises";
 
-/** A source of time. Both readings are in milliseconds. */
+/** A clock. All times are in milliseconds. */
 export interface Clock {
-  /** Monotonic time: never steps back, keeps counting while the process is stopped. */
+  /** Monotonic time: never goes back and keeps running while the process is stopped. */
   readonly now: () => number;
-  /** Wall-clock time since the Unix epoch; may step. Only for what people and peers read. */
+  /** Wall-clock time since the Unix epoch, which may be adjusted. Only for output to people and peers. */
   readonly wall: () => number;
 }
 
-/** The machine's clocks. */
+/** Clock of the operating system. */
 export const SYSTEM_CLOCK: Clock = {
   now: () => Number(process.hrtime.bigint() / 1000n) / 1000,
   wall: () => Date.now(),
 };
 
-/** A clock that moves only when told to. */
+/** A clock that changes only by explicit calls. */
 export interface VirtualClock extends Clock {
   /** Moves time forward by `ms` milliseconds. */
   readonly advance: (ms: number) => void;
 }
 
 /**
- * Makes a clock that starts at zero.
+ * Creates a virtual clock that starts at zero.
  *
  * @example
  * const clock = createVirtualClock();
@@ -30,12 +30,12 @@
  * clock.now(); // 5
  */
 export function createVirtualClock(): VirtualClock {
-  let at = 0;
+  let time = 0;
   return {
-    now: () => at,
-    wall: () => at,
+    now: () => time,
+    wall: () => time,
     advance: (ms) => {
-      at += ms;
+      time += ms;
     },
   };
 }
@@ -51,13 +51,13 @@
 }
 
 /**
- * Waits until the event loop has read from its sockets once more.
+ * Waits until the event loop has polled its sockets once.
  *
  * @example
  * await waitForReads();
  */
 export async function waitForReads(): Promise<void> {
-  // The first of these comes before the sockets' turn, the second behind it.
+  // The first callback may run before the poll phase of the event loop, the second runs after it.
   await timers.setImmediate();
   await timers.setImmediate();
 }
--- a/packages/utils/digest.ts
+++ b/packages/utils/digest.ts
@@ -13,8 +13,8 @@
 }
 
 /**
- * Compares two hexadecimal digests in constant time, so that the time taken
- * tells a caller nothing about how many characters of a key it guessed.
+ * Compares two hexadecimal digests in constant time. This guards against timing
+ * attacks that guess a key character by character.
  *
  * @example
  * isSameDigest(computeDigest("a"), computeDigest("a")); // true
@@ -25,14 +25,14 @@
   return a.length === b.length && a.length > 0 && crypto.timingSafeEqual(a, b);
 }
 
-/** Letters and digits only: a command line takes what begins with a dash for an option. */
+/** Letters and digits only, because a command line parses an argument with a leading dash as an option. */
 const ID_ALPHABET =
   "0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz";
 const ID_LENGTH = 22;
 const drawId = nanoid.customAlphabet(ID_ALPHABET, ID_LENGTH);
 
 /**
- * Makes a random identifier with 130 bits of entropy, safe in URLs and on a
+ * Generates a random identifier with 130 bits of entropy, safe in URLs and on a
  * command line.
  *
  * @example
--- a/packages/utils/digest_test.ts
+++ b/packages/utils/digest_test.ts
@@ -1,11 +1,12 @@
-/** Identifiers that operators copy from logs. */
+/** Tests of random identifiers, which operators copy from logs to command lines. */
 import * as tapModule from "tap";
 import * as utils from "./mod.ts";
 
 const tap = tapModule.default;
 
-// Guards against an identifier that a command takes for an option, as one in sixty did that began with a dash.
-tap.test("an identifier holds letters and digits only", (t) => {
+// Guards against an identifier that a command parses as an option. With a dash in
+// the alphabet, one in sixty identifiers began with it.
+tap.test("an identifier contains only letters and digits", (t) => {
   const ids = Array.from({ length: 1_000 }, () => utils.createId());
   t.ok(ids.every((id) => /^[0-9A-Za-z]{22}$/.test(id)));
   t.equal(new Set(ids).size, ids.length);
--- a/packages/utils/errors.ts
+++ b/packages/utils/errors.ts
@@ -1,6 +1,6 @@
-/** Errors that carry the step and the peer at which they arose. */
+/** Errors that name the failed step and the peer. */
 
-/** What kind of failure it was, as far as the caller's next step depends on it. */
+/** Kind of failure, by which the caller decides how to proceed. */
 export type FailureCode =
   | "unreachable"
   | "timeout"
@@ -11,41 +11,41 @@
   | "invalid"
   | "not_found";
 
-/** A failure at one step towards one peer. */
+/** Failure of one step of communication with a peer. */
 export interface StepError {
   readonly code: FailureCode;
-  /** What was being done, for example `store.put`. */
+  /** Failed step, for example `store.put`. */
   readonly step: string;
-  /** Who was asked: a host, a backend server or a platform service. */
+  /** Peer of the call: a host, a backend server or a platform service. */
   readonly peer: string;
   readonly message: string;
 }
 
 /**
- * Makes a step's error.
+ * Creates an error for a failed step.
  *
  * @example
- * createStepError("timeout", { step: "store.get", peer: "store", message: "No answer." });
+ * createStepError("timeout", { step: "store.get", peer: "store", message: "No response." });
  */
 export function createStepError(
   code: FailureCode,
-  rest: Omit<StepError, "code">,
+  details: Omit<StepError, "code">,
 ): StepError {
-  return { code, ...rest };
+  return { code, ...details };
 }
 
 /**
  * Formats an error for a log line or a terminal.
  *
  * @example
- * formatStepError(error); // "store.get at store: No answer. (timeout)"
+ * formatStepError(error); // "store.get at store: No response. (timeout)"
  */
 export function formatStepError(error: StepError): string {
   return `${error.step} at ${error.peer}: ${error.message} (${error.code})`;
 }
 
 /**
- * Returns the message of anything that was thrown.
+ * Returns the message of a thrown value of any type.
  *
  * @example
  * readMessage(new Error("no")); // "no"
--- a/packages/utils/given_up_test.ts
+++ b/packages/utils/given_up_test.ts
@@ -1,4 +1,4 @@
-/** What still reaches a peer of calls that were given up. */
+/** Tests that an abandoned call does not reach its peer later. */
 import * as tapModule from "tap";
 import * as undici from "undici";
 import * as backend from "./backend.ts";
@@ -9,8 +9,9 @@
 
 const BODY = "x".repeat(testing.BODY_OF_STALLED_BYTES);
 
-// Guards against an order that is carried out seconds after it was given up, behind newer ones.
-tap.test("a call that was given up does not reach its peer later", async (t) => {
+// Guards against an order that is executed after newer orders. Its call timed out,
+// but a network interruption delayed the bytes that were already written.
+tap.test("a call that timed out does not reach its peer later", async (t) => {
   const server = await testing.startStalledServer();
   t.teardown(() => server.close());
   const answer = await jsonClient.sendJson({
@@ -25,8 +26,9 @@
   t.ok(await server.readAll() < testing.BODY_OF_STALLED_BYTES);
 });
 
-// Guards against a server that runs a request seconds after its caller left.
-tap.test("a request of the shared agent that was given up does not reach its server later", async (t) => {
+// Guards against a server that executes a request after its caller disconnected.
+// A network interruption delays the bytes that are already written.
+tap.test("an aborted request of the backend agent does not reach its server later", async (t) => {
   const server = await testing.startStalledServer();
   const agent = backend.createBackendAgent();
   t.teardown(async () => {
--- a/packages/utils/json.ts
+++ b/packages/utils/json.ts
@@ -1,10 +1,10 @@
-/** Canonical JSON: equal values give equal text, so that texts can be digested. */
+/** JSON parsing, and canonical JSON, which formats equal values as equal text for digests. */
 import * as stable from "safe-stable-stringify";
 
 const stringify = stable.configure({ deterministic: true, strict: true });
 
 /**
- * Writes `value` as JSON with sorted keys.
+ * Formats `value` as JSON with sorted keys.
  *
  * @example
  * formatCanonical({ b: 1, a: 2 }); // '{"a":2,"b":1}'
@@ -14,7 +14,7 @@
 }
 
 /**
- * Parses JSON; undefined if it is malformed.
+ * Parses JSON; returns undefined if it is malformed.
  *
  * @example
  * parseJson("{}"); // {}
--- a/packages/utils/json_client.ts
+++ b/packages/utils/json_client.ts
@@ -1,4 +1,4 @@
-/** Calls of a JSON interface over HTTP, with results in place of exceptions. */
+/** HTTP client for JSON APIs that returns results instead of throwing. */
 import * as undici from "undici";
 import * as backend from "./backend.ts";
 import * as errors from "./errors.ts";
@@ -9,7 +9,7 @@
   factory: resettingClient.createResettingPool,
 });
 
-/** One call. */
+/** A call of a JSON API. */
 export interface JsonCall {
   readonly method: "GET" | "PUT" | "POST" | "DELETE";
   readonly url: string;
@@ -22,10 +22,10 @@
 }
 
 /**
- * Sends a call and parses the answer's body.
+ * Sends a call and parses the body of the response.
  *
  * @example
- * const answer = await sendJson<Answer>({ method: "GET", url, step: "fleet.list", peer: "fleet" });
+ * const response = await sendJson<Answer>({ method: "GET", url, step: "fleet.list", peer: "fleet" });
  */
 export async function sendJson<Answer>(
   call: JsonCall,
--- a/packages/utils/json_server.ts
+++ b/packages/utils/json_server.ts
@@ -1,8 +1,8 @@
-/** A small JSON server for the stand-ins. */
+/** HTTP server with JSON bodies for the fake services of tests. */
 import * as http from "node:http";
 import type * as net from "node:net";
 
-/** A request with its body parsed. */
+/** A request with a parsed JSON body. */
 export interface JsonRequest {
   readonly method: string;
   readonly path: string;
@@ -10,20 +10,21 @@
   readonly body: any;
 }
 
-/** What a handler answers; undefined drops the connection. */
+/** Response of a handler. */
 export interface JsonAnswer {
   readonly status: number;
   readonly body: unknown;
 }
 
-/** A running server. */
+/** A running JSON server. */
 export interface JsonServer {
   readonly url: string;
   readonly close: () => Promise<void>;
 }
 
 /**
- * Starts a server on loopback.
+ * Starts a server on the loopback interface. If the handler returns undefined, the
+ * connection is closed without a response.
  *
  * @example
  * const server = await startJsonServer(0, () => ({ status: 200, body: {} }));
--- a/packages/utils/log.ts
+++ b/packages/utils/log.ts
@@ -1,32 +1,32 @@
-/** Structured logging: short sentences with a fixed prefix for each part. */
+/** Structured logging with a fixed message prefix for each part. */
 import * as pino from "pino";
 
-/** The logger type that the parts take. */
+/** Logger of the process or of one part. */
 export type Logger = pino.Logger;
 
 /** Levels that settings accept. */
 export const LOG_LEVELS = ["debug", "info", "warn", "error", "silent"] as const;
 
-/** Most characters of lines that wait for their reader, about 4,000 lines. */
-const MAX_UNWRITTEN_BYTES = 1024 * 1024;
+/** Maximum size of the output buffer in characters, about 4,000 lines. */
+const MAX_BUFFERED_CHARACTERS = 1024 * 1024;
 
 /** Options of {@link createLogger}. */
 export interface LoggerOptions {
-  /** Least severe level that is written. @default "info" */
+  /** Lowest level that is logged. @default "info" */
   readonly level?: (typeof LOG_LEVELS)[number];
-  /** Fields on each line, such as the host's name. @default {} */
+  /** Fields of each line, such as the host's name. @default {} */
   readonly fields?: Record<string, string>;
   /** @default "stderr" */
   readonly output?: "stdout" | "stderr";
-  /** Most lines a second; more are counted and left out. @default unbounded */
+  /** Maximum number of lines per second; further lines are dropped and counted. @default unlimited */
   readonly linesPerSecond?: number;
 }
 
 /**
- * Makes the process's logger, which writes JSON lines. A command writes them to
- * standard error, so that standard output stays free for what it prints. Lines
- * are written behind the work, and dropped while a reader does not take them:
- * a log that nobody reads must not stop a host or fill its memory.
+ * Creates the logger of the process, which writes JSON lines. Commands log to
+ * standard error, because standard output carries their results. Lines are written
+ * asynchronously and dropped while the buffer is full. This guards against a log
+ * reader that stops reading, which would block the host or exhaust its memory.
  *
  * @example
  * const log = createPartLogger(createLogger({ level: "info" }), "store");
@@ -42,40 +42,40 @@
     pino.destination({
       dest: options.output === "stdout" ? 1 : 2,
       sync: false,
-      maxLength: MAX_UNWRITTEN_BYTES,
+      maxLength: MAX_BUFFERED_CHARACTERS,
     }),
   );
 }
 
 /**
- * Leaves out the lines beyond a bound and counts them, so that a host under a
- * flood of refusals spends its time on requests instead of on telling of them.
+ * Drops and counts the lines above the rate limit. This guards against a flood of
+ * refusals whose logging would take the host's time away from its requests.
  */
 function buildHooks(
   linesPerSecond: number | undefined,
 ): pino.LoggerOptions["hooks"] {
   if (linesPerSecond === undefined) return {};
-  let second = 0;
-  let written = 0;
+  let currentSecond = 0;
+  let writtenLines = 0;
   let leftOut = 0;
   return {
     logMethod(values, method) {
       const now = Math.floor(performance.now() / 1_000);
-      if (now !== second) {
-        if (leftOut > 0) method.call(this, { leftOut }, "Lines left out.");
-        second = now;
-        written = 0;
+      if (now !== currentSecond) {
+        if (leftOut > 0) method.call(this, { leftOut }, "Lines dropped.");
+        currentSecond = now;
+        writtenLines = 0;
         leftOut = 0;
       }
-      written += 1;
-      if (written > linesPerSecond) leftOut += 1;
+      writtenLines += 1;
+      if (writtenLines > linesPerSecond) leftOut += 1;
       else method.apply(this, values);
     },
   };
 }
 
 /**
- * Derives the logger of one part; its lines begin with `part: `.
+ * Creates the logger of one part, whose messages begin with `part: `.
  *
  * @example
  * createPartLogger(log, "peer").warn("Connection lost.");
--- a/packages/utils/log_test.ts
+++ b/packages/utils/log_test.ts
@@ -1,4 +1,4 @@
-/** The bound on log lines, and a reader that stops reading. */
+/** Tests of the log's rate limit and of a reader that stops reading. */
 import * as childProcess from "node:child_process";
 import * as path from "node:path";
 import * as tapModule from "tap";
@@ -15,9 +15,9 @@
   ], { stdio: ["ignore", "pipe", "pipe"] });
 }
 
-// Whatever reads the log stops reading. The process must go on at its pace and
-// keep its memory; a write that waits would stop every request.
-tap.test("a reader that does not read holds nothing up", async (t) => {
+// Guards against a log that blocks every request or exhausts the memory. The reader
+// of the log stops reading while the process keeps logging.
+tap.test("a reader that stops reading does not block the process", async (t) => {
   const child = startLogging(`
     const log = createLogger({ output: "stdout" });
     const text = "x".repeat(1000);
@@ -35,11 +35,12 @@
     external += String(chunk);
   });
   await new Promise((resolve) => child.on("close", resolve));
-  t.match(external, /^\d+$/, "it came to its end");
+  t.match(external, /^\d+$/, "the process reached its end");
 });
 
-// A flood of refusals: one line each would cost more than the refusals do.
-tap.test("lines beyond the bound are counted and left out", async (t) => {
+// Guards against logging that costs more than the requests. A flood of refusals
+// logs one line for each.
+tap.test("lines above the rate limit are dropped and counted", async (t) => {
   const child = startLogging(`
     const log = createLogger({ output: "stdout", linesPerSecond: 10 });
     for (let line = 0; line < 500; line += 1) log.info("flood");
--- a/packages/utils/mod.ts
+++ b/packages/utils/mod.ts
@@ -1,4 +1,4 @@
-/** Small helpers that every package shares. */
+/** Utilities that all packages share. */
 export * from "./address.ts";
 export * from "./backend.ts";
 export * from "./clock.ts";
--- a/packages/utils/random.ts
+++ b/packages/utils/random.ts
@@ -1,18 +1,18 @@
-/** Seeded random numbers, so that decisions, tests and the bench repeat. */
+/** Seeded random numbers, so that decisions, tests and the bench are reproducible. */
 import * as digest from "./digest.ts";
 import * as generator from "pure-rand/generator/xoroshiro128plus";
 import * as float from "pure-rand/distribution/uniformFloat64";
 
-/** A stream of random numbers. */
+/** A random number generator. */
 export interface Random {
-  /** The next number in [0, 1). */
+  /** Returns the next number in [0, 1). */
   readonly next: () => number;
-  /** The next integer in [0, `below`). */
+  /** Returns the next integer in [0, `below`). */
   readonly below: (below: number) => number;
 }
 
 /**
- * Makes a stream from a seed; equal seeds give equal streams.
+ * Creates a generator from a seed; equal seeds give equal sequences.
  *
  * @example
  * const random = createRandom(42);
@@ -35,7 +35,7 @@
 }
 
 /**
- * Returns a seed that differs between texts.
+ * Returns a seed derived from the digest of a text.
  *
  * @example
  * const random = createRandom(hashSeed("host-1"));
--- a/packages/utils/resetting_client.ts
+++ b/packages/utils/resetting_client.ts
@@ -1,12 +1,12 @@
 /**
- * Connections that take back what was given up. What a process has written
- * still reaches its peer after the connection was closed, seconds later if the
- * link was cut meanwhile; only a reset makes the kernel drop it.
+ * HTTP connections that are reset when a request on them is aborted. Data that a
+ * process has written still reaches the peer after a normal close, seconds later
+ * after a network interruption; only a reset makes the kernel discard it.
  */
 import type * as net from "node:net";
 import * as undici from "undici";
 
-/** What a pool hands its factory: its own options, with the connector made. */
+/** Options that a pool passes to its factory, with `connect` as a function. */
 interface ClientOptions extends undici.Client.Options {
   readonly connect: Extract<
     undici.Client.Options["connect"],
@@ -15,9 +15,9 @@
 }
 
 /**
- * Makes the client of one connection; a pool's `factory`. The connection is
- * reset if it is destroyed while a request on it has no whole answer, and closed
- * in order otherwise.
+ * Creates the client of one connection; used as the `factory` of a pool. The
+ * connection is reset if it is destroyed while a request on it has no complete
+ * response, and closed normally otherwise.
  *
  * @example
  * const pool = new undici.Pool(url, { factory: createResettingClient });
@@ -32,7 +32,7 @@
     connect: (target, callback) =>
       connect(target, (...outcome) => {
         if (outcome[0] === null) {
-          dropUnanswered(outcome[1], () => client.stats.running > 0);
+          makeResetting(outcome[1], () => client.stats.running > 0);
         }
         callback(...outcome);
       }),
@@ -41,8 +41,8 @@
 }
 
 /**
- * Makes the connections to one origin, each as by {@link createResettingClient};
- * an agent's `factory`.
+ * Creates the connection pool of one origin, with connections of
+ * {@link createResettingClient}; used as the `factory` of an agent.
  *
  * @example
  * const agent = new undici.Agent({ factory: createResettingPool });
@@ -57,15 +57,15 @@
   });
 }
 
-/** Has a connection reset where it is destroyed while it is in use. */
-function dropUnanswered(socket: net.Socket, isInUse: () => boolean): void {
-  // A reset is not to be had for encrypted connections.
+/** Patches `socket.destroy` to reset the connection if it is in use. */
+function makeResetting(socket: net.Socket, isInUse: () => boolean): void {
+  // Node.js cannot reset a TLS connection.
   if ("encrypted" in socket) return;
   const { destroy } = socket;
   let reason: Error | undefined;
   let resetting = false;
   socket.destroy = (error) => {
-    // The reset comes back here, without the reason.
+    // `resetAndDestroy` calls `destroy` again without the error, so the first error is kept.
     if (resetting || socket.destroyed || !isInUse()) {
       return destroy.call(socket, error ?? reason);
     }
--- a/packages/utils/result.ts
+++ b/packages/utils/result.ts
@@ -1,17 +1,17 @@
-/** Results as values, by ts-results. */
+/** Result type of ts-results. */
 import * as tsResults from "ts-results";
 
 type Library = typeof tsResults;
 
-// Node gives a CommonJS module's names under `default`; the bundler, which
-// takes the package's ES module, gives them directly.
+// Node.js loads the package's CommonJS module and exposes its exports under
+// `default`; the bundler uses the ES module, which has the named exports.
 const names = tsResults as Library & { readonly default?: Library };
 const library = Reflect.get(names, "default") as Library | undefined ?? names;
 
-/** Makes a success. */
+/** Creates a success. */
 export const Ok = library.Ok;
-/** Makes a failure. */
+/** Creates a failure. */
 export const Err = library.Err;
 
-/** Either a value or an error. */
+/** A value or an error. */
 export type Result<Value, Failure> = tsResults.Result<Value, Failure>;
--- a/packages/utils/task.ts
+++ b/packages/utils/task.ts
@@ -1,24 +1,24 @@
-/** Tasks: units that own their state and sockets and take messages in order. */
+/** Tasks, which own their state and process messages in order, and repeated execution. */
 
 /** A running task. */
 export interface Task<Message> {
-  /** Puts a message into the mailbox; never blocks. */
+  /** Adds a message to the queue without blocking; ignored after `stop`. */
   readonly send: (message: Message) => void;
-  /** Takes no more messages and waits until the mailbox is empty. */
+  /** Stops accepting messages and waits until the queue is empty. */
   readonly stop: () => Promise<void>;
 }
 
 /** Options of {@link startTask}. */
 export interface TaskOptions<Message> {
-  /** Handles one message; the next one waits until it is done. */
+  /** Handles one message; the next message waits until the promise settles. */
   readonly handle: (message: Message) => void | Promise<void>;
-  /** Told of a handler's failure; the task goes on with the next message. */
+  /** Receives an error of `handle`; the task continues with the next message. */
   readonly onError: (thrown: unknown) => void;
 }
 
 /**
- * Starts a task. Messages are handled one at a time in the order sent, so a
- * handler may await without another one changing the state under it.
+ * Starts a task. Messages are handled one at a time in the order sent, so no other
+ * handler changes the state while a handler awaits.
  *
  * @example
  * const task = startTask({ handle: (n: number) => console.log(n), onError: console.error });
@@ -27,14 +27,14 @@
 export function startTask<Message>(
   options: TaskOptions<Message>,
 ): Task<Message> {
-  const mailbox: Message[] = [];
+  const queue: Message[] = [];
   let running: Promise<void> | undefined;
   let stopped = false;
 
-  async function run(): Promise<void> {
-    while (mailbox.length > 0) {
+  async function handleMessages(): Promise<void> {
+    while (queue.length > 0) {
       try {
-        await options.handle(mailbox.shift() as Message);
+        await options.handle(queue.shift() as Message);
       } catch (thrown) {
         options.onError(thrown);
       }
@@ -45,8 +45,8 @@
   return {
     send: (message) => {
       if (stopped) return;
-      mailbox.push(message);
-      running ??= Promise.resolve().then(run);
+      queue.push(message);
+      running ??= Promise.resolve().then(handleMessages);
     },
     stop: async () => {
       stopped = true;
@@ -56,8 +56,8 @@
 }
 
 /**
- * Runs `work` again and again with `intervalMs` between the end of one run and
- * the start of the next. Returns a function that stops it.
+ * Runs `work` repeatedly, with a pause of `intervalMs` before the first run and
+ * between two runs. Returns a function that stops the repetition.
  *
  * @example
  * const stop = startInterval(1000, async () => await renew());
--- a/packages/utils/testing.ts
+++ b/packages/utils/testing.ts
@@ -1,9 +1,9 @@
-/** Helpers for tests and the playground; not part of the product. */
+/** Helpers for tests and the playground. */
 import * as net from "node:net";
 import * as clock from "./clock.ts";
 
 /**
- * Finds a free port on loopback.
+ * Finds a free port on the loopback interface.
  *
  * @example
  * const port = await findFreePort();
@@ -19,24 +19,24 @@
   });
 }
 
-/** More bytes than a connection's receiver takes in before it reads. */
+/** Body size in bytes that exceeds the receive buffer of a connection. */
 export const BODY_OF_STALLED_BYTES = 1_000_000;
 
-/** A server that takes nothing from its connections until it is told to. */
+/** A server that reads from its connections only on request. */
 export interface StalledServer {
   readonly url: string;
-  /** Waits until a connection was made and its request written. */
+  /** Waits until a connection is open and its request is written. */
   readonly waitForRequest: () => Promise<void>;
-  /** Reads what the first connection has brought until it ends; returns how many bytes that were. */
+  /** Reads the first connection until it ends; returns the number of bytes read. */
   readonly readAll: () => Promise<number>;
   readonly close: () => void;
 }
 
-/** Time in which a request of {@link BODY_OF_STALLED_BYTES} is handed to the kernel, in ms. */
-const WRITTEN_MS = 50;
+/** Wait until a request of {@link BODY_OF_STALLED_BYTES} has been written to the kernel, in ms. */
+const WRITE_WAIT_MS = 50;
 
 /**
- * Starts a server that gets its requests late, as one behind a cut link does.
+ * Starts a server that receives its requests late, as during a network interruption.
  *
  * @example
  * const server = await startStalledServer();
@@ -55,8 +55,8 @@
   return {
     url: `http://127.0.0.1:${port}`,
     waitForRequest: async () => {
-      while (sockets.length === 0) await clock.waitFor(WRITTEN_MS);
-      await clock.waitFor(WRITTEN_MS);
+      while (sockets.length === 0) await clock.waitFor(WRITE_WAIT_MS);
+      await clock.waitFor(WRITE_WAIT_MS);
     },
     readAll: () => readAll(sockets[0]),
     close: () => {
--- a/packages/utils/toml_file.ts
+++ b/packages/utils/toml_file.ts
@@ -1,4 +1,4 @@
-/** TOML files checked against a schema, with errors that name file, line, option and remedy. */
+/** Reads TOML files and validates them against a schema; errors name the file, line, option and remedy. */
 import * as fs from "node:fs";
 import * as levenshtein from "fastest-levenshtein";
 import * as toml from "smol-toml";
@@ -6,21 +6,21 @@
 import * as errors from "./errors.ts";
 import * as result from "./result.ts";
 
-/** One mistake in a file. */
+/** A validation error in a file. */
 export interface FileProblem {
   readonly file: string;
   readonly line: number;
   readonly option: string;
   readonly message: string;
-  /** What to write instead. */
+  /** Instruction for correcting the error. */
   readonly remedy: string;
 }
 
-/** Farthest spelling that is suggested as a near miss. */
-const SUGGEST_DISTANCE = 3;
+/** Maximum edit distance between an unknown option and a suggested name. */
+const MAX_SUGGESTION_DISTANCE = 3;
 
 /**
- * Reads and checks a file.
+ * Reads and validates a file.
  *
  * @example
  * const settings = readTomlFile("host.toml", SETTINGS_SCHEMA);
@@ -43,7 +43,7 @@
 }
 
 /**
- * Checks the text of a file.
+ * Parses and validates the text of a file.
  *
  * @example
  * const parsed = parseToml(text, { file: "host.toml", schema });
@@ -75,7 +75,7 @@
   } catch (thrown) {
     const line = thrown instanceof toml.TomlError ? thrown.line : 0;
     const message = errors.readMessage(thrown).split("\n")[0];
-    const remedy = "Mend the syntax; strings stand in double quotes.";
+    const remedy = "Correct the TOML syntax; strings must be in quotes.";
     return result.Err([{ file, line, option: "", message, remedy }]);
   }
 }
@@ -94,15 +94,15 @@
   if (issue.code === "unrecognized_keys") {
     return issue.keys.map((key) => {
       const path = [...issue.path, key];
-      const near = suggestName(key, listOptions(context.schema));
+      const suggestion = suggestName(key, listOptions(context.schema));
       return {
         file,
         line: findLine(text, path),
         option: path.join("."),
-        message: "There is no such option.",
-        remedy: near === undefined
-          ? "Remove it; the reference page lists all options."
-          : `Write "${near}"?`,
+        message: "Unknown option.",
+        remedy: suggestion === undefined
+          ? "Remove the option; the reference page lists all options."
+          : `Did you mean "${suggestion}"?`,
       };
     });
   }
@@ -118,27 +118,27 @@
 function describeRemedy(issue: z.core.$ZodIssue): string {
   switch (issue.code) {
     case "invalid_type":
-      return `Give a value of type ${issue.expected}.`;
+      return `Specify a value of type ${issue.expected}.`;
     case "invalid_value":
-      return `Write one of: ${issue.values.join(", ")}.`;
+      return `Use one of: ${issue.values.join(", ")}.`;
     case "too_small":
-      return `Give at least ${issue.minimum}.`;
+      return `Specify at least ${issue.minimum}.`;
     case "too_big":
-      return `Give at most ${issue.maximum}.`;
+      return `Specify at most ${issue.maximum}.`;
     default:
-      return "The reference page shows what it takes.";
+      return "The reference page describes the allowed values.";
   }
 }
 
-/** Returns the closest known name, if it is near enough. */
+/** Returns the known name with the smallest edit distance, or undefined if the distance is too large. */
 function suggestName(
   name: string,
   known: readonly string[],
 ): string | undefined {
   if (known.length === 0) return undefined;
-  const near = levenshtein.closest(name, [...known]);
-  const distance = levenshtein.distance(name, near);
-  return distance <= SUGGEST_DISTANCE ? near : undefined;
+  const suggestion = levenshtein.closest(name, [...known]);
+  const distance = levenshtein.distance(name, suggestion);
+  return distance <= MAX_SUGGESTION_DISTANCE ? suggestion : undefined;
 }
 
 /** Lists the names of all options in a schema. */
@@ -155,8 +155,8 @@
 }
 
 /**
- * Finds the line of an option: the last name of its path behind the headers of
- * the tables before it. 0 if the option does not stand in the file.
+ * Returns the line of an option: the last name of its path after the headers of
+ * the enclosing tables. Returns 0 if the file does not contain the option.
  */
 function findLine(text: string, path: readonly PropertyKey[]): number {
   const lines = text.split("\n");
@@ -169,7 +169,7 @@
       found = from;
       return;
     }
-    const name = quoteName(String(step));
+    const name = formatNamePattern(String(step));
     const pattern = new RegExp(
       `^\\s*(\\[+[\\w.-]*\\b${name}\\]+|${name}\\s*=)`,
     );
@@ -192,7 +192,7 @@
   return headers[number] ?? 0;
 }
 
-function quoteName(name: string): string {
+function formatNamePattern(name: string): string {
   return name.replaceAll(/[^\w-]/g, "\\$&");
 }
 
@@ -200,7 +200,7 @@
  * Formats a problem for a terminal.
  *
  * @example
- * formatProblem(problem); // "host.toml:3: host.name: Invalid input. Give ..."
+ * formatProblem(problem); // "host.toml:3: host.name: Invalid input. Specify ..."
  */
 export function formatProblem(problem: FileProblem): string {
   const place = problem.line > 0
