--- a/bench/autoscaling.ts
+++ b/bench/autoscaling.ts
@@ -1,48 +1,48 @@
-/** The autoscaler's orders in virtual time, and what the servers cost. */
+/** Runs the autoscaler in virtual time and adds up the cost of the servers. */
 import * as core from "@banyangrade/core";
 import type * as backendModule from "./backend.ts";
-import type * as measureModule from "./measure.ts";
+import type * as figureRecorder from "./figure_recorder.ts";
 import type * as scenarios from "./scenario.ts";
 import type * as timelineModule from "./timeline.ts";
 
-/** Between two rounds of the autoscaler, in ms. */
-const SCALE_MS = 5_000;
-/** Between an order and a new server's readiness, in ms. */
-const BOOT_MS = 30_000;
-/** Between a server's notice to leave and its end, when it was ordered away, in ms. */
-const LEAVE_MS = 20_000;
-/** Between two additions to the cost, in ms. */
-const COST_MS = 1_000;
+/** Interval between two rounds of the autoscaler, in ms. */
+const SCALING_INTERVAL_MS = 5_000;
+/** Time from the order of a server until it is ready, in ms. */
+const STARTUP_MS = 30_000;
+/** Time from the decision to remove a server until it stops, in ms. */
+const SHUTDOWN_DELAY_MS = 20_000;
+/** Interval between two additions to the cost, in ms. */
+const COST_INTERVAL_MS = 1_000;
 const MS_PER_HOUR = 3_600_000;
 
-/** Options of {@link startScaling} and {@link startCost}. */
+/** Options of {@link startScaling} and {@link recordCost}. */
 export interface ScalingOptions {
   readonly scenario: scenarios.Scenario;
   readonly timeline: timelineModule.Timeline;
-  readonly measure: measureModule.Measure;
+  readonly recorder: figureRecorder.FigureRecorder;
   readonly backend: backendModule.Backend;
   readonly getAllocator: (failureDomain: string) => core.CapacityAllocator;
-  /** Told when a server was marked as leaving. */
+  /** Called when a server is marked as leaving. */
   readonly onChange: () => void;
 }
 
 /**
- * Adds up what the engines cost, second by second.
+ * Adds the cost of the engines to the recorder every second.
  *
  * @example
- * startCost(options);
+ * recordCost(options);
  */
-export function startCost(options: ScalingOptions): void {
-  const { backend, measure, timeline } = options;
+export function recordCost(options: ScalingOptions): void {
+  const { backend, recorder, timeline } = options;
   const perHour = backend.servers.filter((server) =>
     server.pool.serves === "engine" && !server.gone
   ).reduce((sum, server) => sum + server.pool.costPerHour, 0);
-  measure.cost += perHour * COST_MS / MS_PER_HOUR;
-  timeline.after(COST_MS, () => startCost(options));
+  recorder.cost += perHour * COST_INTERVAL_MS / MS_PER_HOUR;
+  timeline.after(COST_INTERVAL_MS, () => recordCost(options));
 }
 
 /**
- * Orders servers for a failure domain every few seconds.
+ * Runs the autoscaler of a failure domain every five seconds.
  *
  * @example
  * startScaling("rosenheim", options);
@@ -51,10 +51,10 @@
   failureDomain: string,
   options: ScalingOptions,
 ): void {
-  runRound(failureDomain, { ...options, state: core.INITIAL_SCALING });
+  runScalingRound(failureDomain, { ...options, state: core.INITIAL_SCALING });
 }
 
-function runRound(
+function runScalingRound(
   failureDomain: string,
   options: ScalingOptions & { readonly state: core.ScalingState },
 ): void {
@@ -75,10 +75,13 @@
     if (part !== undefined) orderServers(part, { ...options, count });
   });
   const next = { ...options, state: computed.state };
-  timeline.after(SCALE_MS, () => runRound(failureDomain, next));
+  timeline.after(
+    SCALING_INTERVAL_MS,
+    () => runScalingRound(failureDomain, next),
+  );
 }
 
-/** Servers of a pool that are there or on their way and not leaving. */
+/** Lists the servers of a pool that run or are starting, without the leaving ones. */
 function listOrdered(
   backend: backendModule.Backend,
   pool: core.PoolPart,
@@ -97,12 +100,12 @@
   for (let index = ordered.length; index < count; index += 1) {
     const server = backend.add(pool, backend.servers.length);
     server.alive = false;
-    timeline.after(BOOT_MS, () => backend.restart(server));
+    timeline.after(STARTUP_MS, () => backend.restart(server));
   }
   ordered.slice(count).forEach((server) => {
     server.info = { ...server.info, state: "leaving" };
     options.onChange();
-    timeline.after(LEAVE_MS, () => {
+    timeline.after(SHUTDOWN_DELAY_MS, () => {
       server.gone = true;
       backend.crash(server, Number.POSITIVE_INFINITY);
     });
--- a/bench/backend.ts
+++ b/bench/backend.ts
@@ -1,43 +1,43 @@
 /**
- * Backend servers in virtual time: engines by their model, plain services by
- * drawn times, and what is lost when a server goes.
+ * Simulates backend servers in virtual time: engines by the engine model, other
+ * services by randomly drawn durations, and the attempts lost in a crash.
  */
 import type * as core from "@banyangrade/core";
 import * as engineModel from "@banyangrade/engine/model.ts";
 import * as utils from "@banyangrade/utils";
-import type * as measureModule from "./measure.ts";
+import type * as figureRecorder from "./figure_recorder.ts";
 import type * as scenarios from "./scenario.ts";
 import type * as timelineModule from "./timeline.ts";
 
-/** Time until a poison request brings its server down, in ms. */
-const POISON_MS = 200;
-/** Time that the server is down after that, in ms. */
-const POISON_DOWN_MS = 20_000;
-/** Time until an attempt at a server that is gone fails, in ms. */
-const REFUSED_MS = 1;
+/** Time until a poison request crashes its server, in ms. */
+const POISON_CRASH_DELAY_MS = 200;
+/** Time for which a server is down after a poison request, in ms. */
+const POISON_DOWNTIME_MS = 20_000;
+/** Time until an attempt on a server that is down fails, in ms. */
+const CONNECTION_REFUSED_MS = 1;
 
-/** One backend server. */
+/** A simulated backend server. */
 export interface Server {
   info: core.ServerInfo;
-  /** Ordered away and paid for no longer. */
+  /** Whether the autoscaler removed the server, which then costs nothing. */
   gone: boolean;
   readonly pool: core.PoolPart;
   readonly engine: engineModel.EngineModel;
-  readonly work: Map<string, Work>;
+  readonly tasks: Map<string, Task>;
   alive: boolean;
   stepping: boolean;
 }
 
-/** A host, as far as servers know it. */
-export interface WorkOwner {
+/** The host that sent an attempt. */
+export interface TaskOwner {
   readonly name: string;
-  /** Where each of its running requests is. */
-  readonly places: Map<string, { server: Server; key: string }>;
+  /** The server and the key of each running request, by request id. */
+  readonly locations: Map<string, { server: Server; key: string }>;
 }
 
-/** An attempt at a server. */
-export interface Work {
-  readonly host: WorkOwner;
+/** An attempt that runs on a server. */
+export interface Task {
+  readonly host: TaskOwner;
   readonly request: core.Request;
   readonly attempt: number;
   readonly offset: number;
@@ -48,14 +48,14 @@
 export interface BackendOptions {
   readonly scenario: scenarios.Scenario;
   readonly timeline: timelineModule.Timeline;
-  readonly measure: measureModule.Measure;
+  readonly recorder: figureRecorder.FigureRecorder;
   readonly random: utils.Random;
-  /** Whether engines are told the requests' tiers. */
+  /** Whether engines receive the tiers of the requests. */
   readonly priorities: boolean;
   readonly getOutputTokens: (requestId: string) => number;
-  /** Tells a host of the progress or the end of its attempt. */
-  readonly onEvent: (host: WorkOwner, event: core.DispatchEvent) => void;
-  /** Told when a server came or went. */
+  /** Called with the progress and the end of each attempt. */
+  readonly onEvent: (host: TaskOwner, event: core.DispatchEvent) => void;
+  /** Called when a server starts or stops. */
   readonly onChange: () => void;
 }
 
@@ -79,48 +79,54 @@
     return server;
   }
 
-  /** Lists the servers of a pool that work and are not leaving. */
+  /** Lists the servers of a pool that are up and not leaving. */
   listLive(pool: core.PoolPart): Server[] {
     return this.servers.filter((server) =>
       server.pool === pool && server.alive && server.info.state === "live"
     );
   }
 
-  /** Lists the attempts that run in a failure domain for a target. */
-  listWork(
+  /** Lists the attempts that run on the servers of a failure domain that serve a target. */
+  listTasks(
     failureDomain: string,
     target: string,
-  ): { readonly work: Work; readonly pool: core.PoolPart }[] {
+  ): { readonly task: Task; readonly pool: core.PoolPart }[] {
     return this.servers.filter((server) =>
       server.alive && server.pool.failureDomain === failureDomain &&
       server.pool.targets.includes(target)
     ).flatMap((server) =>
-      [...server.work.values()].map((work) => ({ work, pool: server.pool }))
+      [...server.tasks.values()].map((task) => ({
+        task,
+        pool: server.pool,
+      }))
     );
   }
 
-  /** Begins an attempt. */
+  /** Starts an attempt. */
   start(
-    host: WorkOwner,
+    host: TaskOwner,
     effect: Extract<core.DispatchEffect, { kind: "start" }>,
   ): void {
     const { timeline } = this.#options;
     const { request, attempt, offset } = effect;
-    const work = { host, request, attempt, offset, tokens: 0 };
+    const task = { host, request, attempt, offset, tokens: 0 };
     const server = this.servers.find((one) =>
       one.info.name === effect.server.name
     );
     if (server === undefined || !server.alive) {
-      timeline.after(REFUSED_MS, () => this.#fail(work, "not_sent"));
+      timeline.after(
+        CONNECTION_REFUSED_MS,
+        () => this.#fail(task, "not_sent"),
+      );
       return;
     }
     const key = `${request.id}#${attempt}`;
-    server.work.set(key, work);
-    host.places.set(request.id, { server, key });
+    server.tasks.set(key, task);
+    host.locations.set(request.id, { server, key });
     if (request.fingerprint === "poison") {
-      this.#crashSoon(server, { key, work });
+      this.#scheduleCrash(server, { key, task });
     }
-    if (request.kind === "call") return this.#startCall(server, { key, work });
+    if (request.kind === "call") return this.#startCall(server, { key, task });
     const outputTokens = this.#options.getOutputTokens(request.id) - offset;
     server.engine.add({
       id: key,
@@ -132,62 +138,71 @@
     if (!server.stepping) this.#step(server);
   }
 
-  /** Ends an attempt that its host gave up. */
-  stop(host: WorkOwner, requestId: string): void {
-    const place = host.places.get(requestId);
-    if (place === undefined) return;
-    // The tokens stay with the caller; what is lost is the prompt's work.
-    place.server.work.delete(place.key);
-    place.server.engine.cancel(place.key);
-    host.places.delete(requestId);
+  /** Cancels an attempt that its host stopped. */
+  stop(host: TaskOwner, requestId: string): void {
+    const location = host.locations.get(requestId);
+    if (location === undefined) return;
+    // The caller keeps the tokens received so far; only the prefill is lost.
+    location.server.tasks.delete(location.key);
+    location.server.engine.cancel(location.key);
+    host.locations.delete(requestId);
   }
 
-  /** Takes a server down with all it runs; it is back after `downMs`, if finite. */
+  /** Crashes a server with all its attempts; restarts it after `downMs`, if finite. */
   crash(server: Server, downMs: number): void {
     if (!server.alive) return;
     server.alive = false;
-    const lost = [...server.work.values()];
-    server.work.clear();
+    const lost = [...server.tasks.values()];
+    server.tasks.clear();
     server.engine.clear();
     server.stepping = false;
-    lost.forEach((work) => this.#fail(work, "connection_lost"));
+    lost.forEach((task) => this.#fail(task, "connection_lost"));
     this.#options.onChange();
     if (Number.isFinite(downMs)) {
       this.#options.timeline.after(downMs, () => this.restart(server));
     }
   }
 
-  /** Brings a server back, unless it was ordered away. */
+  /** Restarts a server, unless the autoscaler removed it. */
   restart(server: Server): void {
     if (server.gone) return;
     server.alive = true;
     this.#options.onChange();
   }
 
-  #crashSoon(
+  #scheduleCrash(
     server: Server,
-    { key, work }: { readonly key: string; readonly work: Work },
+    { key, task }: {
+      readonly key: string;
+      readonly task: Task;
+    },
   ): void {
-    this.#options.timeline.after(POISON_MS, () => {
-      if (server.work.get(key) !== work) return;
-      this.#options.measure.poisoned.add(server.info.name);
-      this.crash(server, POISON_DOWN_MS);
+    this.#options.timeline.after(POISON_CRASH_DELAY_MS, () => {
+      if (server.tasks.get(key) !== task) return;
+      this.#options.recorder.poisoned.add(server.info.name);
+      this.crash(server, POISON_DOWNTIME_MS);
     });
   }
 
-  /** A plain service runs its slots side by side; the rest wait in it. */
+  /**
+   * Runs a call on a service that is not an engine. Its mean duration grows in
+   * proportion to the load above the number of slots.
+   */
   #startCall(
     server: Server,
-    { key, work }: { readonly key: string; readonly work: Work },
+    { key, task }: {
+      readonly key: string;
+      readonly task: Task;
+    },
   ): void {
     const { random, scenario, timeline } = this.#options;
-    const busy = Math.max(1, server.work.size / server.pool.slots);
-    const ms = utils.drawExponential(random, scenario.serviceMs * busy);
+    const loadFactor = Math.max(1, server.tasks.size / server.pool.slots);
+    const ms = utils.drawExponential(random, scenario.serviceMs * loadFactor);
     timeline.after(ms, () => {
-      if (server.work.get(key) !== work) return;
-      server.work.delete(key);
-      work.tokens = 1;
-      this.#finish(server, work);
+      if (server.tasks.get(key) !== task) return;
+      server.tasks.delete(key);
+      task.tokens = 1;
+      this.#finish(server, task);
     });
   }
 
@@ -197,24 +212,24 @@
     const result = server.engine.step();
     this.#options.timeline.after(result.ms, () => {
       if (!server.alive) return;
-      result.tokens.forEach((key) => this.#passToken(server, key));
+      result.tokens.forEach((key) => this.#handleToken(server, key));
       result.finished.forEach((key) => {
-        const work = server.work.get(key);
-        if (work === undefined) return;
-        server.work.delete(key);
-        this.#finish(server, work);
+        const task = server.tasks.get(key);
+        if (task === undefined) return;
+        server.tasks.delete(key);
+        this.#finish(server, task);
       });
       this.#step(server);
     });
   }
 
-  #passToken(server: Server, key: string): void {
-    const work = server.work.get(key);
-    if (work === undefined) return;
-    work.tokens += 1;
-    const { attempt, tokens, request: { id: requestId } } = work;
-    this.#options.measure.recordToken(requestId, this.#options.timeline.now);
-    this.#options.onEvent(work.host, {
+  #handleToken(server: Server, key: string): void {
+    const task = server.tasks.get(key);
+    if (task === undefined) return;
+    task.tokens += 1;
+    const { attempt, tokens, request: { id: requestId } } = task;
+    this.#options.recorder.recordToken(requestId, this.#options.timeline.now);
+    this.#options.onEvent(task.host, {
       kind: "progressed",
       requestId,
       attempt,
@@ -222,34 +237,34 @@
     });
   }
 
-  #finish(server: Server, work: Work): void {
-    const { measure, timeline } = this.#options;
-    const { id: requestId } = work.request;
-    const tokens = work.offset + work.tokens;
-    work.host.places.delete(requestId);
-    if (server.pool.spot) measure.spotTokens += work.tokens;
-    measure.recordFinished(requestId, { now: timeline.now, tokens });
-    this.#options.onEvent(work.host, {
+  #finish(server: Server, task: Task): void {
+    const { recorder, timeline } = this.#options;
+    const { id: requestId } = task.request;
+    const tokens = task.offset + task.tokens;
+    task.host.locations.delete(requestId);
+    if (server.pool.spot) recorder.spotTokens += task.tokens;
+    recorder.recordFinished(requestId, { now: timeline.now, tokens });
+    this.#options.onEvent(task.host, {
       kind: "finished",
       requestId,
-      attempt: work.attempt,
+      attempt: task.attempt,
       tokens,
     });
   }
 
-  #fail(work: Work, failure: core.AttemptFailure): void {
-    const { id: requestId } = work.request;
-    work.host.places.delete(requestId);
+  #fail(task: Task, failure: core.AttemptFailure): void {
+    const { id: requestId } = task.request;
+    task.host.locations.delete(requestId);
     if (!this.#options.priorities) {
-      this.#options.measure.recordLost(work.tokens);
+      this.#options.recorder.recordDiscarded(task.tokens);
     }
-    this.#options.onEvent(work.host, {
+    this.#options.onEvent(task.host, {
       kind: "failed",
       requestId,
-      attempt: work.attempt,
+      attempt: task.attempt,
       failure,
-      answerStarted: work.tokens + work.offset > 0,
-      resumable: work.request.kind === "generate",
+      answerStarted: task.tokens + task.offset > 0,
+      resumable: task.request.kind === "generate",
     });
   }
 }
@@ -265,7 +280,7 @@
     pool,
     gone: false,
     engine: new engineModel.EngineModel(),
-    work: new Map(),
+    tasks: new Map(),
     alive: true,
     stepping: false,
   };
--- a/bench/cases.ts
+++ b/bench/cases.ts
@@ -1,46 +1,54 @@
-/** The cases of trouble that the bench runs. */
+/** The cases that the benchmark runs: disturbances of the load and the servers. */
 import type * as scenarios from "./scenario.ts";
 
-/** Length of a run in virtual ms, its start-up not measured. */
+/** Length of a run, in virtual ms; the start and the end of it are not counted. */
 export const RUN_MS = 125_000;
 
-/** When trouble begins and ends. */
+/** Start of the disturbances, in virtual ms. */
 export const FROM = 20_000;
-/** End of the trouble. */
+/** End of the disturbances, in virtual ms. */
 export const TO = 80_000;
 
-/** The cases, from none to all at once. */
+/** All cases, from no disturbance to several at once. */
 export const CASES: readonly scenarios.Case[] = [
-  { name: "steady", troubles: [] },
+  { name: "steady", disturbances: [] },
   {
     name: "burst to 3x",
-    troubles: [{ kind: "burst", from: FROM, to: TO }],
+    disturbances: [{ kind: "burst", from: FROM, to: TO }],
   },
   {
     name: "engine at a third",
-    troubles: [{ kind: "slow_engine", from: FROM, to: TO, factor: 3 }],
+    disturbances: [{ kind: "slow_engine", from: FROM, to: TO, factor: 3 }],
+  },
+  {
+    name: "engine crash",
+    disturbances: [{ kind: "crash", at: FROM, restoredAt: TO }],
   },
-  { name: "engine crash", troubles: [{ kind: "crash", at: FROM, backAt: TO }] },
   {
     name: "spot reclaimed",
-    troubles: [{ kind: "reclaim", at: FROM, noticeMs: 5_000, backAt: TO }],
+    disturbances: [{
+      kind: "reclaim",
+      at: FROM,
+      noticeMs: 5_000,
+      restoredAt: TO,
+    }],
   },
   {
     name: "no load reports",
-    troubles: [{ kind: "no_reports", from: FROM, to: TO }],
+    disturbances: [{ kind: "no_reports", from: FROM, to: TO }],
   },
   {
     name: "greedy customer",
-    troubles: [{ kind: "greedy", from: FROM, to: TO, factor: 12 }],
+    disturbances: [{ kind: "greedy", from: FROM, to: TO, factor: 12 }],
   },
-  { name: "poison request", troubles: [{ kind: "poison", at: FROM }] },
+  { name: "poison request", disturbances: [{ kind: "poison", at: FROM }] },
   {
     name: "all at once",
-    troubles: [
+    disturbances: [
       { kind: "burst", from: FROM, to: TO },
       { kind: "slow_engine", from: FROM, to: TO, factor: 3 },
-      { kind: "crash", at: FROM + 10_000, backAt: TO },
-      { kind: "reclaim", at: FROM + 20_000, noticeMs: 5_000, backAt: TO },
+      { kind: "crash", at: FROM + 10_000, restoredAt: TO },
+      { kind: "reclaim", at: FROM + 20_000, noticeMs: 5_000, restoredAt: TO },
       { kind: "poison", at: FROM + 30_000 },
     ],
   },
--- a/bench/control.ts
+++ b/bench/control.ts
@@ -1,7 +1,8 @@
 /**
- * `npm run control -- 8 32`: what control costs each host and the store, with so
- * many hosts of one failure domain as processes; steady, under changes and
- * restarts, and how long changes and takeovers take.
+ * `npm run control -- 8 32`: starts clusters of 8 and 32 host processes in one
+ * failure domain and measures the cost of the control plane for each host and the
+ * store, idle and under configuration changes, and the time that a configuration
+ * change and the takeover of a role take.
  */
 import * as fs from "node:fs";
 import * as path from "node:path";
@@ -13,17 +14,17 @@
 import * as table from "../packages/banyangrade/table.ts";
 
 /**
- * Time until hosts that all started at once have passed each other's news on:
- * about a beat for each host, in ms.
+ * Time for membership updates to spread after all hosts start at once, in ms. It
+ * grows by about one heartbeat per host.
  */
-const SETTLE_MS = 8_000;
-const SETTLE_PER_HOST_MS = 700;
+const CONVERGENCE_MS = 8_000;
+const CONVERGENCE_PER_HOST_MS = 700;
 const STEADY_MS = 15_000;
 const CHURN_MS = 20_000;
-/** 18,000 changes a day. */
-const CHANGE_EVERY_MS = 4_800;
-/** Clock ticks a second in the kernel's process accounts. */
-const TICKS = 100;
+/** Interval between configuration changes, in ms: 18,000 changes a day. */
+const CHANGE_INTERVAL_MS = 4_800;
+/** Clock ticks per second of the processor times in /proc. */
+const CLOCK_TICKS_PER_SECOND = 100;
 
 interface Sample {
   readonly cpu: number;
@@ -31,7 +32,7 @@
   readonly memory: number;
 }
 
-/** Processor seconds, bytes read and written, and resident MB of a process. */
+/** Reads the processor time in s, the bytes read and written, and the resident memory in MB of a process. */
 function readSample(pid: number): Sample {
   const read = (name: string) =>
     fs.readFileSync(`/proc/${pid}/${name}`, "utf8");
@@ -40,7 +41,7 @@
   const field = (name: string) =>
     Number(new RegExp(`${name}: (\\d+)`).exec(io)?.[1] ?? 0);
   return {
-    cpu: (Number(fields[11]) + Number(fields[12])) / TICKS,
+    cpu: (Number(fields[11]) + Number(fields[12])) / CLOCK_TICKS_PER_SECOND,
     bytes: field("rchar") + field("wchar"),
     memory: Number(/VmRSS:\s+(\d+)/.exec(read("status"))?.[1] ?? 0) / 1_024,
   };
@@ -50,7 +51,10 @@
   return values.reduce((sum, value) => sum + value, 0) / values.length;
 }
 
-/** Mean cost of the hosts over a time in which `work` runs. */
+/**
+ * Measures the cost of the hosts for `ms` while `work` runs. Hosts whose process
+ * was replaced meanwhile are left out of the rates.
+ */
 async function measureHosts(
   cluster: clusterModule.Cluster,
   ms: number,
@@ -61,11 +65,11 @@
   const calls = cluster.store.count();
   await Promise.all([utils.waitFor(ms), options.work()]);
   const after = cluster.hosts.map((host) => readSample(host.child.pid ?? 0));
-  const kept = pids.flatMap((pid, index) =>
+  const unreplaced = pids.flatMap((pid, index) =>
     pid === cluster.hosts[index].child.pid ? [index] : []
   );
   const rate = (field: "cpu" | "bytes") =>
-    kept.map((index) =>
+    unreplaced.map((index) =>
       (after[index][field] - before[index][field]) * 1e3 / ms
     );
   const reads = (cluster.store.count().reads - calls.reads) * 1_000 / ms;
@@ -81,24 +85,24 @@
   ];
 }
 
-interface SeenStatus {
+interface HostStatus {
   readonly revision: number;
   readonly roles: readonly { role: string; host: string; token: number }[];
 }
 
-/** A host's status; undefined if it does not answer. */
+/** Reads the status of a host; undefined if it does not respond. */
 async function readStatus(
   host: clusterModule.HostProcess,
-): Promise<SeenStatus | undefined> {
+): Promise<HostStatus | undefined> {
   try {
     const answer = await fetch(`${host.operationsUrl}/status.json`);
-    return await answer.json() as SeenStatus;
+    return await answer.json() as HostStatus;
   } catch {
     return undefined;
   }
 }
 
-/** Time from a commit until every host has it in force, in ms. */
+/** Commits a change and returns the time until all hosts apply it, in ms. */
 async function measureChange(cluster: clusterModule.Cluster): Promise<number> {
   const client = store.createStoreClient({ url: cluster.store.url });
   const { part } = core.createKey("load", ["any"]);
@@ -108,18 +112,18 @@
   });
   const startedAt = performance.now();
   const revision = committed.unwrap().revision;
-  const isInForce = async (host: clusterModule.HostProcess) => {
+  const isApplied = async (host: clusterModule.HostProcess) => {
     const status = await readStatus(host);
     return status === undefined || status.revision >= revision;
   };
-  while (!(await Promise.all(cluster.hosts.map(isInForce))).every(Boolean)) {
+  while (!(await Promise.all(cluster.hosts.map(isApplied))).every(Boolean)) {
     await utils.waitFor(2);
   }
   await client.close();
   return performance.now() - startedAt;
 }
 
-/** Kills the host that reports usage; time until another one holds the role. */
+/** Kills the host that reports usage; returns the time until another host holds the role, in ms. */
 async function measureTakeover(
   cluster: clusterModule.Cluster,
 ): Promise<number> {
@@ -127,12 +131,14 @@
     const status = await readStatus(host);
     return status?.roles.find((role) => role.role === "usage/rosenheim");
   };
-  const held = await readRole(cluster.hosts[0]);
-  const index = cluster.hosts.findIndex((host) => host.name === held?.host);
+  const previousHolder = await readRole(cluster.hosts[0]);
+  const index = cluster.hosts.findIndex((host) =>
+    host.name === previousHolder?.host
+  );
   const watcher = cluster.hosts[index === 0 ? 1 : 0];
   cluster.hosts[index].child.kill("SIGKILL");
   const startedAt = performance.now();
-  while ((await readRole(watcher))?.token === held?.token) {
+  while ((await readRole(watcher))?.token === previousHolder?.token) {
     await utils.waitFor(20);
   }
   const ms = performance.now() - startedAt;
@@ -149,7 +155,7 @@
     serviceFiles: path.join(import.meta.dirname, "services"),
     logLevel: "warn",
   });
-  await utils.waitFor(SETTLE_MS + count * SETTLE_PER_HOST_MS);
+  await utils.waitFor(CONVERGENCE_MS + count * CONVERGENCE_PER_HOST_MS);
   const steady = await measureHosts(cluster, STEADY_MS, {
     work: () => Promise.resolve(),
   });
@@ -159,7 +165,7 @@
     work: async () => {
       const until = performance.now() + CHURN_MS;
       while (performance.now() < until) {
-        await utils.waitFor(CHANGE_EVERY_MS);
+        await utils.waitFor(CHANGE_INTERVAL_MS);
         times.push(await measureChange(cluster));
       }
     },
--- a/bench/decisions.ts
+++ b/bench/decisions.ts
@@ -1,4 +1,4 @@
-/** `npm run decisions`: time of one decision by servers, customers and load. */
+/** `npm run decisions`: measures the time per dispatch decision by number of servers, customers and load. */
 import * as core from "@banyangrade/core";
 import * as utils from "@banyangrade/utils";
 import * as table from "../packages/banyangrade/table.ts";
@@ -41,11 +41,11 @@
   }).unwrap();
 }
 
-/** Mean time of an arrival with its start and its end, in microseconds. */
+/** Returns the mean time to handle the arrival and the end of a request, in microseconds. */
 function measureDecisions(options: {
   readonly servers: number;
   readonly customers: number;
-  /** Share of the slots in use while it is measured; above 1, the rest waits. */
+  /** Number of open requests per slot; above 1, the excess requests are queued. */
   readonly load: number;
 }): number {
   const random = utils.createRandom(7);
@@ -66,7 +66,7 @@
   dispatcher.handle({ kind: "hosts_changed", hosts: ["h0"] }, 0);
   const running: { requestId: string; attempt: number }[] = [];
   let count = 0;
-  const take = (effects: readonly core.DispatchEffect[]) =>
+  const recordStarts = (effects: readonly core.DispatchEffect[]) =>
     effects.forEach((effect) => {
       if (effect.kind !== "start") return;
       running.push({ requestId: effect.request.id, attempt: effect.attempt });
@@ -75,7 +75,7 @@
     count += 1;
     const tier = 1 + random.below(CLASSES);
     const model = random.below(Math.min(MODELS, options.servers));
-    take(dispatcher.handle({
+    recordStarts(dispatcher.handle({
       kind: "arrived",
       request: {
         id: `r${count}`,
@@ -101,11 +101,13 @@
   };
   const finish = () => {
     if (running.length === 0) return;
-    const [one] = running.splice(random.below(running.length), 1);
-    take(dispatcher.handle({ kind: "finished", ...one, tokens: 100 }, 0));
+    const [ended] = running.splice(random.below(running.length), 1);
+    recordStarts(
+      dispatcher.handle({ kind: "finished", ...ended, tokens: 100 }, 0),
+    );
   };
-  const wanted = Math.floor(options.servers * SLOTS * options.load);
-  while (count < wanted) arrive();
+  const openRequests = Math.floor(options.servers * SLOTS * options.load);
+  while (count < openRequests) arrive();
   for (let round = 0; round < ROUNDS / 10; round += 1) {
     arrive();
     finish();
--- a/bench/deployments.ts
+++ b/bench/deployments.ts
@@ -1,21 +1,21 @@
-/** The two deployments, with the users' sizes. */
+/** The two simulated deployments, sized like those of the users. */
 import type * as core from "@banyangrade/core";
 import type * as scenarios from "./scenario.ts";
 
-/** How the number of engines follows demand. */
+/** Which engines the autoscaler may add; "fixed" turns it off. */
 export type Fleet = "fixed" | "mixed" | "ordinary_only" | "spot_only";
 
-/** Most servers of a pool that the autoscaler may order. */
-const SCALE_MAX = 6;
+/** Maximum number of servers in a pool under autoscaling. */
+const MAX_SERVERS_PER_POOL = 6;
 
 /**
- * Returns a scenario whose engines the autoscaler orders, starting with one
- * server in each pool that is used.
+ * Returns a scenario in which the autoscaler sets the number of engines. Each
+ * engine pool that the fleet uses starts with two servers.
  *
  * @example
- * const elastic = buildElastic(TANZRAUM, "mixed");
+ * const elastic = buildAutoscaled(TANZRAUM, "mixed");
  */
-export function buildElastic(
+export function buildAutoscaled(
   scenario: scenarios.Scenario,
   fleet: Fleet,
 ): scenarios.Scenario {
@@ -23,10 +23,15 @@
   const pools = scenario.pools.map((pool) => {
     if (pool.serves === "service") return pool;
     const unused = fleet === (pool.spot ? "ordinary_only" : "spot_only");
-    // One ordinary server holds a failure domain; spot servers come and go.
+    // One ordinary server keeps the failure domain available when its spot
+    // servers are reclaimed.
     const needed = fleet === "spot_only" || !pool.spot;
     const minServers = needed && !unused ? 1 : 0;
-    return { ...pool, minServers, maxServers: unused ? 0 : SCALE_MAX };
+    return {
+      ...pool,
+      minServers,
+      maxServers: unused ? 0 : MAX_SERVERS_PER_POOL,
+    };
   });
   const servers = new Map(
     pools.map((pool) => [
@@ -39,13 +44,13 @@
   return { ...scenario, pools, servers };
 }
 
-/** Ten customers, a few of them large. */
+/** Shares of ten customers, of which a few are large. */
 const CUSTOMERS = [0.25, 0.2, 0.15, 0.1, 0.08, 0.06, 0.05, 0.05, 0.03, 0.03];
 
 type Rates = Pick<scenarios.ClassLoad, "perSecond" | "burst">;
 type Targets = Omit<core.ClassPart, "kind" | "name" | "betweenTokensMs">;
 
-/** Calls of the plain service. */
+/** Builds the load of a class of calls to the service that is not an engine. */
 function buildCall(
   name: string,
   options: Targets & Rates & { readonly repeatable: boolean },
@@ -63,7 +68,7 @@
   };
 }
 
-/** Requests to the model. */
+/** Builds the load of a class of generation requests. */
 function buildGenerate(
   name: string,
   options:
@@ -104,7 +109,7 @@
   };
 }
 
-/** Pools of one failure domain and how many servers each has. */
+/** Lists the pools of a failure domain with the number of servers in each. */
 function listDomainPools(
   failureDomain: string,
   counts: { ordinary: number; spot: number; services: number },
@@ -157,7 +162,7 @@
   };
 }
 
-/** Tanzraum: 4 failure domains, 13 model and 4 application workers. */
+/** Tanzraum: 4 failure domains with 13 engines and 4 servers of the service. */
 export const TANZRAUM = buildScenario("tanzraum", {
   domains: [
     ["rosenheim", { ordinary: 2, spot: 2, services: 1 }],
@@ -230,7 +235,7 @@
   ],
 });
 
-/** Jadeleaf: 3 failure domains, 13 model and 3 application workers. */
+/** Jadeleaf: 3 failure domains with 13 engines and 3 servers of the service. */
 export const JADELEAF = buildScenario("jadeleaf", {
   domains: [
     ["north-a", { ordinary: 3, spot: 2, services: 1 }],
--- a/bench/measure.ts
+++ b/bench/figure_recorder.ts
@@ -1,22 +1,22 @@
-/** What a run is judged by. */
+/** Records the figures by which a run is evaluated. */
 import type * as core from "@banyangrade/core";
 import type * as scenarios from "./scenario.ts";
 
-/** Requests that arrive before this moment are not counted, in ms. */
+/** Requests that arrive before this virtual time are not counted, in ms. */
 const WARM_UP_MS = 10_000;
-/** Requests that arrive after this moment may not have ended, in ms. */
+/** Requests that arrive after this virtual time may not end in the run and are not counted, in ms. */
 const COUNT_UNTIL_MS = 110_000;
-/** Length of a point of the goodput curve, in ms. */
-const CURVE_MS = 2_000;
-/** A customer that asks for this many times the median is greedy by itself. */
+/** Interval of the points of the curve, in ms. */
+const CURVE_POINT_MS = 2_000;
+/** A customer with more than this multiple of the median request count is greedy. */
 const GREEDY_FACTOR = 5;
-/** Requests of a customer below which its attainment says little. */
+/** Customers with fewer requests are ignored, as their attainment is mostly noise. */
 const MIN_CUSTOMER_REQUESTS = 20;
 
-/** Why a request missed its target. */
-export type Miss = "late" | "slow" | "refused";
+/** Why a request missed its target: late first token, slow tokens or a refusal. */
+export type MissReason = "late" | "slow" | "refused";
 
-const NO_MISSES: Record<Miss, number> = { late: 0, slow: 0, refused: 0 };
+const NO_MISSES: Record<MissReason, number> = { late: 0, slow: 0, refused: 0 };
 
 interface Tracked {
   readonly request: core.Request;
@@ -26,58 +26,61 @@
   attained: boolean;
 }
 
-/** Figures of one class. */
+/** Figures of one request class. */
 export interface ClassFigures {
   readonly className: string;
   readonly tier: number;
   readonly arrived: number;
-  /** Share that met its target, refused ones counted as missed. */
+  /** Share of the requests that met their target; refused requests count as missed. */
   readonly attainment: number;
-  /** Shares that missed it by the first token, between tokens and by refusal. */
-  readonly misses: Readonly<Record<Miss, number>>;
-  /** Lowest attainment of a customer that is not greedy, by the median. */
+  /** Share of the requests that missed their target, by reason. */
+  readonly misses: Readonly<Record<MissReason, number>>;
+  /** Lowest attainment of a customer that is not greedy, relative to the median. */
   readonly worstCustomer: number;
 }
 
 /** Figures of a run. */
 export interface RunFigures {
   readonly classes: readonly ClassFigures[];
-  /** Tokens a second of answers that met their target. */
+  /** Tokens per second of responses that met their target. */
   readonly goodput: number;
-  /** Tokens generated for nobody, as a share of all. */
+  /** Share of the generated tokens that were discarded. */
   readonly wasted: number;
-  /** Refusals for load while lower work beyond its share ran in the failure domain. */
+  /**
+   * Requests refused for overload while attempts of a lower tier that exceeded the
+   * share of their class ran in the failure domain.
+   */
   readonly violations: number;
-  /** Servers lost to the poison request. */
+  /** Number of servers that the poison request crashed. */
   readonly poisoned: number;
-  /** Demand messages of all hosts a second. */
+  /** Demand messages of all hosts per second. */
   readonly messagesPerSecond: number;
-  /** Cost of a million tokens of whole answers. */
+  /** Cost of a million tokens of complete responses. */
   readonly costPerMillion: number;
-  /** Share of the tokens of whole answers that spot servers ended. */
+  /** Share of the tokens of complete responses that the finishing attempt generated on spot servers. */
   readonly spotShare: number;
-  /** Attained requests in each 2 s. */
+  /** Number of requests that met their target in each 2 s. */
   readonly curve: readonly number[];
 }
 
-/** Collects figures during a run. */
-export class Measure {
+/** Records the figures of a run. */
+export class FigureRecorder {
   messages = 0;
   /** Cost of all engines so far. */
   cost = 0;
-  /** Tokens that spot servers generated in whole answers. */
+  /** Tokens of complete responses that the finishing attempt generated on spot servers. */
   spotTokens = 0;
   readonly poisoned = new Set<string>();
   readonly #loads: ReadonlyMap<string, scenarios.ClassLoad>;
   readonly #countUntilMs: number;
-  readonly #open = new Map<string, Tracked>();
+  readonly #openRequests = new Map<string, Tracked>();
   readonly #counts = new Map<string, Map<string, [number, number]>>();
-  readonly #misses = new Map<string, Record<Miss, number>>();
+  readonly #misses = new Map<string, Record<MissReason, number>>();
   readonly #curve: number[] = [];
-  #generated = 0;
-  #lost = 0;
-  #good = 0;
-  #served = 0;
+  #generatedTokens = 0;
+  #discardedTokens = 0;
+  #attainedTokens = 0;
+  #completedTokens = 0;
   #violations = 0;
 
   constructor(
@@ -92,7 +95,7 @@
 
   recordArrived(request: core.Request): void {
     const load = this.#loads.get(request.className) as scenarios.ClassLoad;
-    this.#open.set(request.id, {
+    this.#openRequests.set(request.id, {
       request,
       load,
       firstAt: 0,
@@ -105,102 +108,109 @@
   }
 
   recordToken(requestId: string, now: number): void {
-    const tracked = this.#open.get(requestId);
-    this.#generated += 1;
+    const tracked = this.#openRequests.get(requestId);
+    this.#generatedTokens += 1;
     if (tracked === undefined) {
-      this.#lost += 1;
+      this.#discardedTokens += 1;
       return;
     }
     if (tracked.tokens === 0) tracked.firstAt = now;
     tracked.tokens += 1;
   }
 
-  /** Records tokens that were generated and thrown away. */
-  recordLost(tokens: number): void {
-    this.#lost += tokens;
+  /** Records tokens that were generated and then discarded. */
+  recordDiscarded(tokens: number): void {
+    this.#discardedTokens += tokens;
   }
 
   recordFinished(
     requestId: string,
     { now, tokens }: { readonly now: number; readonly tokens: number },
   ): void {
-    const tracked = this.#open.get(requestId);
+    const tracked = this.#openRequests.get(requestId);
     if (tracked === undefined) return;
-    this.#open.delete(requestId);
+    this.#openRequests.delete(requestId);
     const { request, load } = tracked;
-    if (load.kind === "generate") this.#served += tokens;
+    if (load.kind === "generate") this.#completedTokens += tokens;
     const firstAt = load.kind === "call" ? now : tracked.firstAt;
-    const between = tokens > 1 ? (now - firstAt) / (tokens - 1) : 0;
+    const meanGapMs = tokens > 1 ? (now - firstAt) / (tokens - 1) : 0;
     const late = firstAt - request.arrivedAt > load.part.firstTokenMs;
-    const slow = between > load.part.betweenTokensMs;
+    const slow = meanGapMs > load.part.betweenTokensMs;
     if (late || slow) return this.#recordMiss(request, late ? "late" : "slow");
-    this.#good += load.kind === "call" ? 0 : tokens;
-    const point = Math.floor(now / CURVE_MS);
+    this.#attainedTokens += load.kind === "call" ? 0 : tokens;
+    const point = Math.floor(now / CURVE_POINT_MS);
     this.#curve[point] = (this.#curve[point] ?? 0) + 1;
     if (!this.#isCounted(request)) return;
-    const [arrived, sofar] = this.#getCount(request);
-    this.#setCount(request, [arrived, sofar + 1]);
+    const [arrived, attained] = this.#getCount(request);
+    this.#setCount(request, [arrived, attained + 1]);
   }
 
   recordRefused(
     requestId: string,
     refusal: core.Refusal,
     options: {
-      readonly lowerElsewhere: (request: core.Request) => boolean;
+      readonly hasLowerTierWork: (request: core.Request) => boolean;
     },
   ): void {
-    const tracked = this.#open.get(requestId);
+    const tracked = this.#openRequests.get(requestId);
     if (tracked === undefined) return;
-    this.#open.delete(requestId);
-    this.#lost += tracked.tokens;
+    this.#openRequests.delete(requestId);
+    this.#discardedTokens += tracked.tokens;
     this.#recordMiss(tracked.request, "refused");
-    const forLoad = refusal.code === "overloaded" ||
+    const isOverload = refusal.code === "overloaded" ||
       refusal.code === "deadline_exceeded";
-    if (forLoad && options.lowerElsewhere(tracked.request)) {
+    if (isOverload && options.hasLowerTierWork(tracked.request)) {
       this.#violations += 1;
     }
   }
 
-  /** Sums the run up. */
-  sumUp(runMs: number): RunFigures {
+  /** Computes the figures of the run. */
+  computeFigures(runMs: number): RunFigures {
     return {
-      classes: [...this.#loads.values()].map((load) => this.#sumClass(load)),
-      goodput: this.#good / (runMs / 1_000),
-      wasted: this.#generated === 0 ? 0 : this.#lost / this.#generated,
+      classes: [...this.#loads.values()].map((load) =>
+        this.#computeClassFigures(load)
+      ),
+      goodput: this.#attainedTokens / (runMs / 1_000),
+      wasted: this.#generatedTokens === 0
+        ? 0
+        : this.#discardedTokens / this.#generatedTokens,
       violations: this.#violations,
       poisoned: this.poisoned.size,
-      costPerMillion: this.cost / Math.max(1, this.#served) * 1e6,
-      spotShare: this.spotTokens / Math.max(1, this.#served),
+      costPerMillion: this.cost / Math.max(1, this.#completedTokens) * 1e6,
+      spotShare: this.spotTokens / Math.max(1, this.#completedTokens),
       messagesPerSecond: this.messages / (runMs / 1_000),
       curve: Array.from(
-        { length: Math.floor(runMs / CURVE_MS) },
+        { length: Math.floor(runMs / CURVE_POINT_MS) },
         (_, index) => this.#curve[index] ?? 0,
       ),
     };
   }
 
-  #sumClass(load: scenarios.ClassLoad): ClassFigures {
+  #computeClassFigures(load: scenarios.ClassLoad): ClassFigures {
     const counts = [...(this.#counts.get(load.part.name)?.values() ?? [])];
     const arrived = counts.reduce((sum, [count]) => sum + count, 0);
     const attained = counts.reduce((sum, [, count]) => sum + count, 0);
     const sizes = counts.map(([count]) => count).toSorted((a, b) => a - b);
-    const usual = sizes[Math.floor(sizes.length / 2)] ?? 0;
+    const medianSize = sizes[Math.floor(sizes.length / 2)] ?? 0;
     const shares = counts.filter(([count]) =>
-      count >= MIN_CUSTOMER_REQUESTS && count <= GREEDY_FACTOR * usual
+      count >= MIN_CUSTOMER_REQUESTS && count <= GREEDY_FACTOR * medianSize
     )
-      .map(([all, good]) => good / all).toSorted((a, b) => a - b);
+      .map(([total, met]) => met / total).toSorted((a, b) => a - b);
     const median = shares[Math.floor(shares.length / 2)] ?? 0;
     return {
       className: load.part.name,
       tier: load.part.tier,
       arrived,
       attainment: arrived === 0 ? 1 : attained / arrived,
-      misses: this.#divideMisses(load.part.name, Math.max(1, arrived)),
+      misses: this.#computeMissShares(load.part.name, Math.max(1, arrived)),
       worstCustomer: median === 0 ? 1 : shares[0] / median,
     };
   }
 
-  #divideMisses(name: string, arrived: number): Record<Miss, number> {
+  #computeMissShares(
+    name: string,
+    arrived: number,
+  ): Record<MissReason, number> {
     const { late, slow, refused } = this.#misses.get(name) ?? NO_MISSES;
     return {
       late: late / arrived,
@@ -209,10 +219,10 @@
     };
   }
 
-  #recordMiss(request: core.Request, miss: Miss): void {
+  #recordMiss(request: core.Request, miss: MissReason): void {
     if (!this.#isCounted(request)) return;
-    const known = this.#misses.get(request.className) ?? NO_MISSES;
-    const counts = { ...known, [miss]: known[miss] + 1 };
+    const previous = this.#misses.get(request.className) ?? NO_MISSES;
+    const counts = { ...previous, [miss]: previous[miss] + 1 };
     this.#misses.set(request.className, counts);
   }
 
--- a/bench/load.ts
+++ b/bench/load.ts
@@ -1,4 +1,7 @@
-/** `npm run load`: what one host adds, carries and needs, beside direct calls to the same stand-ins. */
+/**
+ * `npm run load`: measures the latency that one host adds to direct calls to the
+ * same fake backend servers, its throughput, memory and start-up time.
+ */
 import * as fs from "node:fs";
 import * as path from "node:path";
 import * as hdr from "hdr-histogram-js";
@@ -8,19 +11,19 @@
 import * as table from "../packages/banyangrade/table.ts";
 
 const RUN_MS = 8_000;
-/** Clock ticks a second in the kernel's process accounts. */
-const TICKS = 100;
+/** Clock ticks per second of the processor times in /proc. */
+const CLOCK_TICKS_PER_SECOND = 100;
 
 const agent = new undici.Agent({ connections: 2_000, pipelining: 1 });
 
-/** Processor time of a process so far, in seconds. */
+/** Reads the processor time that a process has used, in seconds. */
 function readCpu(pid: number): number {
   const fields = fs.readFileSync(`/proc/${pid}/stat`, "utf8")
     .split(") ")[1].split(" ");
-  return (Number(fields[11]) + Number(fields[12])) / TICKS;
+  return (Number(fields[11]) + Number(fields[12])) / CLOCK_TICKS_PER_SECOND;
 }
 
-/** Resident memory of a process, in MB. */
+/** Reads the resident memory of a process, in MB. */
 function readMemory(pid: number): number {
   const text = fs.readFileSync(`/proc/${pid}/status`, "utf8");
   return Number(/VmRSS:\s+(\d+)/.exec(text)?.[1] ?? 0) / 1_024;
@@ -31,8 +34,11 @@
   readonly key: string;
 }
 
-/** Sends at a steady rate and records how long each request took. */
-async function sendSteadily(
+/**
+ * Sends requests at a constant rate, independent of the responses, and records
+ * the duration that `send` returns for each, in microseconds.
+ */
+async function sendAtRate(
   perSecond: number,
   send: () => Promise<number>,
 ): Promise<hdr.Histogram> {
@@ -41,8 +47,8 @@
   const startedAt = performance.now();
   const count = perSecond * RUN_MS / 1_000;
   for (let index = 0; index < count; index += 1) {
-    const due = startedAt + index * 1_000 / perSecond;
-    const wait = due - performance.now();
+    const scheduledAt = startedAt + index * 1_000 / perSecond;
+    const wait = scheduledAt - performance.now();
     if (wait > 0) await utils.waitFor(wait);
     all.push(send().then((ms) => histogram.recordValue(ms * 1_000)));
   }
@@ -57,11 +63,11 @@
     headers: { authorization: `Bearer ${target.key}` },
   });
   await answer.body.dump();
-  if (answer.statusCode !== 200) throw new Error(`${answer.statusCode}`);
+  if (answer.statusCode !== 200) throw new Error(`HTTP ${answer.statusCode}`);
   return performance.now() - startedAt;
 }
 
-/** Streams tokens; returns the time to the first one in ms. */
+/** Streams a response; returns the time to first token, in ms. */
 async function sendStream(
   target: Target,
   options: { readonly tokens: number; readonly onTokens?: (n: number) => void },
@@ -116,43 +122,43 @@
 const key = await cluster.createKey("load", ["any"]);
 const [host] = cluster.hosts;
 const pid = host.child.pid ?? 0;
-const viaHost = { url: host.callerUrl, key };
+const hostTarget = { url: host.callerUrl, key };
 const rows: (string | number)[][] = [];
 const idle = readMemory(pid);
 
 for (const perSecond of [60, 300]) {
-  const direct = await sendSteadily(
+  const direct = await sendAtRate(
     perSecond,
     () => sendCall({ url: cluster.services[0].url, key }, ""),
   );
   const cpu = readCpu(pid);
-  const through = await sendSteadily(
+  const proxied = await sendAtRate(
     perSecond,
-    () => sendCall(viaHost, "/services/rooms"),
+    () => sendCall(hostTarget, "/services/rooms"),
   );
   const share = (readCpu(pid) - cpu) / (RUN_MS / 1_000);
   rows.push([
     `calls at ${perSecond}/s`,
     ...format(direct),
-    ...format(through),
+    ...format(proxied),
     `${(share * 100).toFixed(1)}%`,
   ]);
 }
 for (const perSecond of [60, 300]) {
-  const direct = await sendSteadily(
+  const direct = await sendAtRate(
     perSecond,
     () => sendStream({ url: cluster.engines[0].url, key }, { tokens: 20 }),
   );
   const cpu = readCpu(pid);
-  const through = await sendSteadily(
+  const proxied = await sendAtRate(
     perSecond,
-    () => sendStream(viaHost, { tokens: 20 }),
+    () => sendStream(hostTarget, { tokens: 20 }),
   );
   const share = (readCpu(pid) - cpu) / (RUN_MS / 1_000);
   rows.push([
     `first token at ${perSecond} streams/s`,
     ...format(direct),
-    ...format(through),
+    ...format(proxied),
     `${(share * 100).toFixed(1)}%`,
   ]);
 }
@@ -171,7 +177,7 @@
   const startedAt = performance.now();
   await Promise.all(
     Array.from({ length: streams }, () =>
-      sendStream(viaHost, {
+      sendStream(hostTarget, {
         tokens: 400,
         onTokens: (n) => {
           tokens += n;
@@ -188,7 +194,7 @@
 }
 const open = Array.from(
   { length: 1_000 },
-  () => sendStream(viaHost, { tokens: 1_500 }).catch(() => 0),
+  () => sendStream(hostTarget, { tokens: 1_500 }).catch(() => 0),
 );
 await utils.waitFor(4_000);
 process.stdout.write(
--- a/bench/load_source.ts
+++ b/bench/load_source.ts
@@ -1,31 +1,31 @@
-/** The load of a run: when requests arrive, whose they are and how long their answers get. */
+/** Generates the load of a run: arrival times, customers and response lengths. */
 import type * as core from "@banyangrade/core";
 import * as utils from "@banyangrade/utils";
 import type * as scenarios from "./scenario.ts";
 
-/** Longest answer, in tokens. */
+/** Maximum length of a response, in tokens. */
 const MAX_OUTPUT_TOKENS = 2_000;
-/** Prompts of a customer that begin alike. */
+/** Number of distinct prompt prefixes of each customer. */
 const PREFIXES_PER_CUSTOMER = 20;
 
-/** A request that arrives. */
+/** A request and the host at which it arrives. */
 export interface Arrival {
   readonly request: core.Request;
-  /** Host that the balancer chose. */
+  /** Index of the host that the load balancer chose. */
   readonly host: number;
-  /** Length of its answer, which only the engine knows. */
+  /** Length of the response, which hosts do not know in advance. */
   readonly outputTokens: number;
 }
 
 /** Options of {@link LoadSource}. */
 export interface LoadSourceOptions {
   readonly scenario: scenarios.Scenario;
-  readonly troubles: readonly scenarios.Trouble[];
+  readonly disturbances: readonly scenarios.Disturbance[];
   readonly hosts: number;
   readonly seed: number;
 }
 
-/** Draws the load from a stream of its own, so it is the same for every policy. */
+/** Draws the load from a separate random stream, so that all policies get the same load. */
 export class LoadSource {
   readonly #options: LoadSourceOptions;
   readonly #random: utils.Random;
@@ -36,13 +36,13 @@
     this.#random = utils.createRandom(options.seed);
   }
 
-  /** Draws the time until a class's next request, in ms. */
-  drawGap(load: scenarios.ClassLoad, now: number): number {
+  /** Draws the time until the next request of a class, in ms. */
+  drawInterarrivalMs(load: scenarios.ClassLoad, now: number): number {
     const perSecond = this.#getRate(load, now);
     return utils.drawExponential(this.#random, 1_000 / perSecond);
   }
 
-  /** Draws a request. */
+  /** Draws a request of a class and the host at which it arrives. */
   drawRequest(
     load: scenarios.ClassLoad,
     { now, fingerprint }: {
@@ -54,7 +54,7 @@
     const id = `r${this.#requests}`;
     const customer = this.#drawCustomer(load, now);
     const host = this.#random.below(this.#options.hosts);
-    const outputTokens = this.#drawLength(load);
+    const outputTokens = this.#drawOutputTokens(load);
     const prefix = load.kind === "call"
       ? ""
       : `${customer}/${this.#random.below(PREFIXES_PER_CUSTOMER)}`;
@@ -81,7 +81,7 @@
     return { request, host, outputTokens };
   }
 
-  #drawLength(load: scenarios.ClassLoad): number {
+  #drawOutputTokens(load: scenarios.ClassLoad): number {
     if (load.outputTokens === 0) return 0;
     const drawn = utils.drawExponential(this.#random, load.outputTokens);
     return Math.min(MAX_OUTPUT_TOKENS, 1 + Math.floor(drawn));
@@ -89,38 +89,40 @@
 
   #drawCustomer(load: scenarios.ClassLoad, now: number): number {
     const { shares, sum } = this.#getShares(load, now);
-    let left = this.#random.next() * sum;
+    let remaining = this.#random.next() * sum;
     const drawn = shares.findIndex((share) => {
-      left -= share;
-      return left <= 0;
+      remaining -= share;
+      return remaining <= 0;
     });
     return Math.max(0, drawn);
   }
 
   #getRate(load: scenarios.ClassLoad, now: number): number {
-    const bursting = this.#options.troubles.some((trouble) =>
-      trouble.kind === "burst" && isWithin(trouble, now)
+    const isBurst = this.#options.disturbances.some((disturbance) =>
+      disturbance.kind === "burst" && isWithin(disturbance, now)
     );
-    return load.perSecond * (bursting ? load.burst : 1) * this.#getTide(now) *
+    return load.perSecond * (isBurst ? load.burst : 1) *
+      this.#getPeriodicFactor(now) *
       this.#getShares(load, now).sum;
   }
 
-  #getTide(now: number): number {
-    const tide = this.#options.troubles.find((trouble) =>
-      trouble.kind === "tide"
+  #getPeriodicFactor(now: number): number {
+    const periodicLoad = this.#options.disturbances.find((disturbance) =>
+      disturbance.kind === "periodic_load"
     );
-    if (tide?.kind !== "tide") return 1;
-    const phase = 2 * Math.PI * now / tide.periodMs;
-    return tide.low + (1 - tide.low) * (1 - Math.cos(phase)) / 2;
+    if (periodicLoad?.kind !== "periodic_load") return 1;
+    const phase = 2 * Math.PI * now / periodicLoad.periodMs;
+    return periodicLoad.lowestShare +
+      (1 - periodicLoad.lowestShare) * (1 - Math.cos(phase)) / 2;
   }
 
-  /** Customers' shares; a greedy one asks for many times its own. */
+  /** Returns the share of each customer; a greedy customer exceeds its share by a factor. */
   #getShares(
     load: scenarios.ClassLoad,
     now: number,
   ): { readonly shares: readonly number[]; readonly sum: number } {
-    const greedy = this.#options.troubles.find((trouble) =>
-      trouble.kind === "greedy" && isWithin(trouble, now)
+    const greedy = this.#options.disturbances.find((disturbance) =>
+      disturbance.kind === "greedy" && isWithin(disturbance, now)
     );
     const factor = greedy?.kind === "greedy" && load.kind === "generate"
       ? greedy.factor
@@ -133,14 +135,14 @@
 }
 
 /**
- * Whether a trouble lasts at a moment.
+ * Whether a disturbance is active at a given virtual time.
  *
  * @example
  * isWithin({ from: 0, to: 10 }, 5); // true
  */
 export function isWithin(
-  trouble: { readonly from: number; readonly to: number },
+  disturbance: { readonly from: number; readonly to: number },
   now: number,
 ): boolean {
-  return now >= trouble.from && now < trouble.to;
+  return now >= disturbance.from && now < disturbance.to;
 }
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -1,23 +1,30 @@
-/** `npm run bench`: every scenario, case and fleet, beside the naive version. */
+/**
+ * `npm run bench`: runs all cases and autoscaling runs of each scenario in the
+ * simulation, compares the dispatcher with a naive baseline and writes
+ * docs/measurements/bench.txt.
+ */
 import * as childProcess from "node:child_process";
 import * as fs from "node:fs";
 import * as path from "node:path";
 
-const OUT = path.join(import.meta.dirname, "../docs/measurements/bench.txt");
-const PARTS = [
+const OUTPUT_FILE = path.join(
+  import.meta.dirname,
+  "../docs/measurements/bench.txt",
+);
+const SUITES = [
   ["cases", "tanzraum"],
   ["cases", "jadeleaf"],
   ["autoscaled", "tanzraum"],
   ["autoscaled", "jadeleaf"],
 ];
 
-/** Runs a part in a process of its own; they do not depend on each other. */
-function runPart(words: readonly string[]): Promise<string> {
-  const part = path.join(import.meta.dirname, "part.ts");
+/** Runs a suite in a child process and returns what it printed. */
+function runSuite(args: readonly string[]): Promise<string> {
+  const script = path.join(import.meta.dirname, "suite.ts");
   return new Promise((resolve, reject) => {
     childProcess.execFile(
       process.execPath,
-      ["--import=tsx", part, ...words],
+      ["--import=tsx", script, ...args],
       { encoding: "utf8" },
       (error, stdout) => error === null ? resolve(stdout) : reject(error),
     );
@@ -25,8 +32,8 @@
 }
 
 const startedAt = Date.now();
-const texts = await Promise.all(PARTS.map(runPart));
-const text = `Repeat with: npm run bench\n\n${texts.join("\n")}`;
-fs.writeFileSync(OUT, text);
+const outputs = await Promise.all(SUITES.map(runSuite));
+const text = `Repeat with: npm run bench\n\n${outputs.join("\n")}`;
+fs.writeFileSync(OUTPUT_FILE, text);
 const seconds = Math.round((Date.now() - startedAt) / 1_000);
 process.stdout.write(`${text}\n${seconds} s\n`);
--- a/bench/naive.ts
+++ b/bench/naive.ts
@@ -1,11 +1,11 @@
 /**
- * The naive version to compare with: first come first served, round robin,
- * everything straight into the engines' own queues, every failure of a
- * repeatable request tried again at once.
+ * The naive baseline: sends each request on arrival to the next server by round
+ * robin, leaves queueing to the engines and retries a failed repeatable request
+ * immediately.
  */
 import * as core from "@banyangrade/core";
 
-/** Tries of one request. */
+/** Maximum number of attempts of one request. */
 const MAX_ATTEMPTS = 4;
 
 interface Running {
@@ -14,7 +14,7 @@
   readonly server: string;
 }
 
-/** What the bench drives: the real dispatcher or the naive one. */
+/** A dispatcher under test: the real one or the naive baseline. */
 export interface Policy {
   readonly handle: (
     event: core.DispatchEvent,
@@ -23,12 +23,12 @@
   readonly listDemand: () => core.PoolDemand[];
 }
 
-/** Dispatches without looking. */
+/** Dispatches requests without regard to load, tiers or deadlines. */
 export class NaiveDispatcher implements Policy {
   readonly #running = new Map<string, Running>();
   #servers: readonly core.ServerInfo[] = [];
   #pools: ReadonlyMap<string, core.PoolPart> = new Map();
-  #next = 0;
+  #nextIndex = 0;
 
   listDemand(): core.PoolDemand[] {
     return [];
@@ -48,7 +48,7 @@
         this.#running.delete(event.requestId);
         return [];
       case "failed":
-        return this.#tryAgain(event);
+        return this.#repeatFailed(event);
       case "cancelled":
         this.#running.delete(event.requestId);
         return [];
@@ -65,22 +65,23 @@
     if (usable.length === 0) {
       return [this.#refuse(request, "no_capacity")];
     }
-    this.#next += 1;
-    const server = usable[this.#next % usable.length];
+    this.#nextIndex += 1;
+    const server = usable[this.#nextIndex % usable.length];
     this.#running.set(request.id, { request, attempt, server: server.name });
     return [{ kind: "start", request, attempt, server, offset: 0 }];
   }
 
-  #tryAgain(
+  #repeatFailed(
     event: Extract<core.DispatchEvent, { kind: "failed" }>,
   ): core.DispatchEffect[] {
-    const one = this.#running.get(event.requestId);
-    if (one === undefined || one.attempt !== event.attempt) return [];
+    const failed = this.#running.get(event.requestId);
+    if (failed === undefined || failed.attempt !== event.attempt) return [];
     this.#running.delete(event.requestId);
-    const again = one.request.repeatable && one.attempt < MAX_ATTEMPTS;
-    return again
-      ? this.#start(one.request, one.attempt + 1)
-      : [this.#refuse(one.request, "backend_failed")];
+    const mayRepeat = failed.request.repeatable &&
+      failed.attempt < MAX_ATTEMPTS;
+    return mayRepeat
+      ? this.#start(failed.request, failed.attempt + 1)
+      : [this.#refuse(failed.request, "backend_failed")];
   }
 
   #refuse(
--- a/bench/plot.ts
+++ b/bench/plot.ts
@@ -1,19 +1,19 @@
-/** Plots of the bench as SVG, by Vega. */
+/** Renders the plots of the benchmark as SVG with Vega. */
 import * as vega from "vega";
 import * as vegaLite from "vega-lite";
 
-/** One line of a plot: a value for each 2 s of a run. */
+/** One line of a plot: a value for each interval of 2 s. */
 export interface Curve {
   readonly name: string;
   readonly policy: string;
   readonly values: readonly number[];
 }
 
-/** Seconds between two points. */
+/** Interval between two points, in s. */
 const POINT_SECONDS = 2;
 
 /**
- * Draws a panel for each case with a line for each policy.
+ * Renders one panel per case with one line per policy.
  *
  * @example
  * const svg = await renderCurves(curves, { title: "tanzraum" });
--- a/bench/scenario.ts
+++ b/bench/scenario.ts
@@ -1,38 +1,38 @@
-/** What a run of the bench is made of. */
+/** The types that describe a benchmark run. */
 import type * as core from "@banyangrade/core";
 
-/** Load of one class. */
+/** The load of one request class. */
 export interface ClassLoad {
   readonly part: core.ClassPart;
   readonly target: string;
   readonly kind: "generate" | "call";
   readonly repeatable: boolean;
-  /** Requests a second over all failure domains. */
+  /** Requests per second over all failure domains. */
   readonly perSecond: number;
   readonly promptTokens: number;
-  /** Mean of an exponential distribution; 0 for calls. */
+  /** Mean of the exponential distribution of response lengths; 0 for calls. */
   readonly outputTokens: number;
-  /** Factor during a burst. */
+  /** Factor by which a burst multiplies the rate. */
   readonly burst: number;
 }
 
-/** A deployment. */
+/** A simulated deployment and its load. */
 export interface Scenario {
   readonly name: string;
   readonly failureDomains: readonly string[];
   readonly hostsPerDomain: number;
   readonly pools: readonly core.PoolPart[];
-  /** Servers in each pool. */
+  /** Number of servers in each pool at the start. */
   readonly servers: ReadonlyMap<string, number>;
   readonly loads: readonly ClassLoad[];
-  /** Shares of the customers in the load. */
+  /** Share of each customer in the load. */
   readonly customers: readonly number[];
-  /** Mean time of one call of a plain service, in ms. */
+  /** Mean duration of a call to a service that is not an engine, in ms. */
   readonly serviceMs: number;
 }
 
-/** One kind of trouble; times in ms from the start. */
-export type Trouble =
+/** A disturbance of the load or the servers; times are virtual ms from the start. */
+export type Disturbance =
   | { readonly kind: "burst"; readonly from: number; readonly to: number }
   | {
     readonly kind: "greedy";
@@ -46,22 +46,26 @@
     readonly to: number;
     readonly factor: number;
   }
-  | { readonly kind: "crash"; readonly at: number; readonly backAt: number }
+  | { readonly kind: "crash"; readonly at: number; readonly restoredAt: number }
   | {
     readonly kind: "reclaim";
     readonly at: number;
     readonly noticeMs: number;
-    readonly backAt: number;
-    /** Failure domains that lose their spot servers. @default 1 */
+    readonly restoredAt: number;
+    /** Number of failure domains that lose their spot servers. @default 1 */
     readonly domains?: number;
   }
   | { readonly kind: "no_reports"; readonly from: number; readonly to: number }
   | { readonly kind: "poison"; readonly at: number }
-  /** Load that rises and falls between this share and all of it. */
-  | { readonly kind: "tide"; readonly periodMs: number; readonly low: number };
+  /** Load that rises and falls between `lowestShare` times the full rate and the full rate. */
+  | {
+    readonly kind: "periodic_load";
+    readonly periodMs: number;
+    readonly lowestShare: number;
+  };
 
-/** A named set of troubles. */
+/** A named set of disturbances. */
 export interface Case {
   readonly name: string;
-  readonly troubles: readonly Trouble[];
+  readonly disturbances: readonly Disturbance[];
 }
--- a/bench/simulation.ts
+++ b/bench/simulation.ts
@@ -1,62 +1,69 @@
 /**
- * One run in virtual time: hosts with the real dispatcher and allocator (or the
- * naive version), messages with delays, and the load that comes to them.
+ * Simulates one run in virtual time: hosts with the real dispatcher and capacity
+ * allocator (or the naive baseline), message delays, backend servers and load.
  */
 import * as core from "@banyangrade/core";
 import * as utils from "@banyangrade/utils";
 import * as autoscaling from "./autoscaling.ts";
 import * as backendModule from "./backend.ts";
 import * as loadSource from "./load_source.ts";
-import * as measure from "./measure.ts";
+import * as recorder from "./figure_recorder.ts";
 import * as naive from "./naive.ts";
 import type * as scenarios from "./scenario.ts";
 import * as timelineModule from "./timeline.ts";
-import * as troubles from "./troubles.ts";
+import * as disturbances from "./disturbances.ts";
 
-/** Times in ms. */
-const TICK_MS = 50;
-const DEMAND_MS = 250;
-const REPORT_MS = 1_000;
-const REPORT_LAG_MS = 500;
-const MESSAGE_MS = 0.5;
-/** Messages from a host through two relays to a host of another failure domain. */
+/** Interval of the dispatchers' ticks and of urgent demand messages, in ms. */
+const TICK_INTERVAL_MS = 50;
+/** Interval of a host's regular demand messages, in ms. */
+const DEMAND_INTERVAL_MS = 250;
+/** Interval of the engines' load reports, in ms. */
+const REPORT_INTERVAL_MS = 1_000;
+/** Delay of a load report, in ms. */
+const REPORT_DELAY_MS = 500;
+/** Delay of one message between hosts, in ms. */
+const MESSAGE_DELAY_MS = 0.5;
+/** Number of messages from a host through two relays to a host of another failure domain. */
 const RELAY_HOPS = 3;
-/** Messages from a host to another failure domain's capacity leader. */
-const VISIT_HOPS = 2;
-/** Requests that arrive so late in a run may not have ended and are not counted. */
-const TAIL_MS = 30_000;
-/** Time between a server's loss and the hosts' list without it. */
-const LIST_LAG_MS = 1_000;
+/** Number of messages from a host to the capacity leader of another failure domain. */
+const LEADER_HOPS = 2;
+/**
+ * Requests that arrive in this last part of a run are not counted, as they may
+ * not end before the run does; in ms.
+ */
+const UNCOUNTED_TAIL_MS = 30_000;
+/** Delay until hosts read a changed server list, in ms. */
+const SERVER_LIST_DELAY_MS = 1_000;
 
-interface Host extends backendModule.WorkOwner {
+interface Host extends backendModule.TaskOwner {
   readonly domain: string;
   readonly policy: naive.Policy;
-  /** Rounds of demand so far. */
-  turn: number;
+  /** Number of overflow demand messages so far. */
+  demandRound: number;
 }
 
 /** Options of {@link Simulation}. */
 export interface SimulationOptions {
   readonly scenario: scenarios.Scenario;
-  readonly troubles: readonly scenarios.Trouble[];
+  readonly disturbances: readonly scenarios.Disturbance[];
   readonly policy: "banyangrade" | "naive";
   readonly seed: number;
   readonly runMs: number;
-  /** Whether the autoscaler orders servers. @default false */
+  /** Whether the autoscaler changes the number of servers. @default false */
   readonly scaling?: boolean;
 }
 
-/** A run. */
+/** A simulated run. */
 export class Simulation {
-  readonly measure: measure.Measure;
+  readonly recorder: recorder.FigureRecorder;
   readonly #options: SimulationOptions;
   readonly #timeline = new timelineModule.Timeline();
   readonly #load: loadSource.LoadSource;
   readonly #backend: backendModule.Backend;
   readonly #hosts: Host[] = [];
   readonly #allocators = new Map<string, core.CapacityAllocator>();
-  readonly #lengths = new Map<string, number>();
-  readonly #asked = new Set<string>();
+  readonly #outputTokens = new Map<string, number>();
+  readonly #recentUrgentDemands = new Set<string>();
 
   constructor(options: SimulationOptions) {
     this.#options = options;
@@ -65,41 +72,41 @@
       ...options,
       hosts: scenario.failureDomains.length * scenario.hostsPerDomain,
     });
-    this.measure = new measure.Measure(options.scenario, {
-      countUntilMs: options.runMs - TAIL_MS,
+    this.recorder = new recorder.FigureRecorder(options.scenario, {
+      countUntilMs: options.runMs - UNCOUNTED_TAIL_MS,
     });
     this.#backend = new backendModule.Backend({
       scenario,
       timeline: this.#timeline,
-      measure: this.measure,
+      recorder: this.recorder,
       random: utils.createRandom(options.seed + 1_000),
       priorities: options.policy !== "naive",
-      getOutputTokens: (requestId) => this.#lengths.get(requestId) ?? 1,
+      getOutputTokens: (requestId) => this.#outputTokens.get(requestId) ?? 1,
       onEvent: (host, event) => this.#send(host as Host, event),
-      onChange: () => this.#listSoon(),
+      onChange: () => this.#scheduleServerLists(),
     });
   }
 
-  /** Runs to the end. */
+  /** Runs the simulation until `runMs`. */
   run(): void {
     const { scenario, runMs } = this.#options;
     scenario.failureDomains.forEach((domain) => this.#addDomain(domain));
-    this.#timeline.after(REPORT_MS, () => this.#reportLoads());
+    this.#timeline.after(REPORT_INTERVAL_MS, () => this.#reportLoads());
     this.#startScaling();
     scenario.loads.forEach((load) => this.#scheduleArrival(load));
-    this.#options.troubles.forEach((trouble) =>
-      troubles.scheduleTrouble(trouble, {
+    this.#options.disturbances.forEach((disturbance) =>
+      disturbances.scheduleDisturbance(disturbance, {
         scenario,
         timeline: this.#timeline,
         backend: this.#backend,
         arrive: (load, fingerprint) => this.#arrive(load, fingerprint),
-        onChange: () => this.#listSoon(),
+        onChange: () => this.#scheduleServerLists(),
       })
     );
     this.#timeline.runUntil(runMs);
   }
 
-  // ---- building ----
+  // ---- setup ----
 
   #addDomain(domain: string): void {
     const { hostsPerDomain } = this.#options.scenario;
@@ -111,9 +118,9 @@
     names.forEach((name, index) => {
       const host = this.#addHost(domain, name);
       this.#send(host, { kind: "hosts_changed", hosts: names });
-      // Hosts tick out of step with each other.
+      // The offsets keep the hosts from acting at the same virtual time.
       this.#timeline.after(index * 7, () => this.#tick(host));
-      this.#timeline.after(index * 11 + 1, () => this.#runDemand(host));
+      this.#timeline.after(index * 11 + 1, () => this.#runDemandRound(host));
     });
   }
 
@@ -122,8 +129,8 @@
     const host: Host = {
       name,
       domain,
-      places: new Map(),
-      turn: 0,
+      locations: new Map(),
+      demandRound: 0,
       policy: this.#options.policy === "naive"
         ? new naive.NaiveDispatcher()
         : new core.Dispatcher({ failureDomain: domain, host: name, random }),
@@ -139,12 +146,12 @@
     const options = {
       scenario: this.#options.scenario,
       timeline: this.#timeline,
-      measure: this.measure,
+      recorder: this.recorder,
       backend: this.#backend,
       getAllocator: (domain: string) => this.#getAllocator(domain),
-      onChange: () => this.#listSoon(),
+      onChange: () => this.#scheduleServerLists(),
     };
-    autoscaling.startCost(options);
+    autoscaling.recordCost(options);
     if (this.#options.scaling !== true) return;
     this.#options.scenario.failureDomains
       .forEach((domain) => autoscaling.startScaling(domain, options));
@@ -166,46 +173,46 @@
 
   #tick(host: Host): void {
     this.#send(host, { kind: "ticked" });
-    this.#timeline.after(TICK_MS, () => this.#tick(host));
+    this.#timeline.after(TICK_INTERVAL_MS, () => this.#tick(host));
   }
 
   #send(host: Host, event: core.DispatchEvent): void {
     host.policy.handle(event, this.#timeline.now)
-      .forEach((effect) => this.#carryOut(host, effect));
+      .forEach((effect) => this.#applyEffect(host, effect));
   }
 
-  #carryOut(host: Host, effect: core.DispatchEffect): void {
+  #applyEffect(host: Host, effect: core.DispatchEffect): void {
     switch (effect.kind) {
       case "start":
         return this.#backend.start(host, effect);
       case "stop":
         return this.#backend.stop(host, effect.requestId);
       case "refuse":
-        this.measure.recordRefused(effect.requestId, effect.refusal, {
-          lowerElsewhere: (request) => this.#hasLowerWork(request, host),
+        this.recorder.recordRefused(effect.requestId, effect.refusal, {
+          hasLowerTierWork: (request) => this.#hasLowerTierWork(request, host),
         });
         return;
       case "suspect":
-        return this.#spreadMark(host, effect.mark);
+        return this.#sendMark(host, effect.mark);
       case "ask_capacity":
-        return this.#askSoon(host);
+        return this.#sendUrgentDemand(host);
     }
   }
 
-  #spreadMark(from: Host, mark: core.SuspectMark): void {
+  #sendMark(from: Host, mark: core.SuspectMark): void {
     this.#hosts.filter((host) => host !== from).forEach((host) => {
       const hops = host.domain === from.domain ? 1 : RELAY_HOPS;
       this.#timeline.after(
-        hops * MESSAGE_MS,
+        hops * MESSAGE_DELAY_MS,
         () => this.#send(host, { kind: "suspected", marks: [mark] }),
       );
     });
   }
 
-  /** Hosts hear of a change of the servers when the list is next read. */
-  #listSoon(): void {
+  /** Sends a changed server list to all hosts after the delay of the list. */
+  #scheduleServerLists(): void {
     this.#timeline.after(
-      LIST_LAG_MS,
+      SERVER_LIST_DELAY_MS,
       () => this.#hosts.forEach((host) => this.#sendServers(host)),
     );
   }
@@ -218,18 +225,18 @@
   }
 
   #reportLoads(): void {
-    const silent = this.#options.troubles.some((trouble) =>
-      trouble.kind === "no_reports" &&
-      loadSource.isWithin(trouble, this.#timeline.now)
+    const isSuppressed = this.#options.disturbances.some((disturbance) =>
+      disturbance.kind === "no_reports" &&
+      loadSource.isWithin(disturbance, this.#timeline.now)
     );
     const reporting = this.#backend.servers.filter((server) =>
-      !silent && server.alive && server.pool.serves === "engine"
+      !isSuppressed && server.alive && server.pool.serves === "engine"
     ).map((server) => ({
       domain: server.pool.failureDomain,
       report: { server: server.info.name, ...server.engine.getLoad() },
     }));
     this.#timeline.after(
-      REPORT_LAG_MS,
+      REPORT_DELAY_MS,
       () =>
         this.#hosts.forEach((host) =>
           reporting.filter((one) => one.domain === host.domain)
@@ -238,38 +245,44 @@
             )
         ),
     );
-    this.#timeline.after(REPORT_MS, () => this.#reportLoads());
+    this.#timeline.after(REPORT_INTERVAL_MS, () => this.#reportLoads());
   }
 
-  // ---- slots ----
+  // ---- slot grants ----
 
-  #runDemand(host: Host): void {
+  #runDemandRound(host: Host): void {
     this.#sendDemand(host);
     this.#sendOverflow(host);
-    this.#timeline.after(DEMAND_MS, () => this.#runDemand(host));
+    this.#timeline.after(DEMAND_INTERVAL_MS, () => this.#runDemandRound(host));
   }
 
-  /** At most one urgent demand of a host every 50 ms, as in the daemon. */
-  #askSoon(host: Host): void {
-    if (this.#asked.has(host.name)) return;
-    this.#asked.add(host.name);
+  /** Sends an urgent demand, at most one per host in 50 ms, as a real host does. */
+  #sendUrgentDemand(host: Host): void {
+    if (this.#recentUrgentDemands.has(host.name)) return;
+    this.#recentUrgentDemands.add(host.name);
     this.#sendDemand(host);
-    this.#timeline.after(TICK_MS, () => this.#asked.delete(host.name));
+    this.#timeline.after(
+      TICK_INTERVAL_MS,
+      () => this.#recentUrgentDemands.delete(host.name),
+    );
   }
 
-  /** Demand goes to the failure domain's allocator and its grants come back. */
+  /**
+   * Sends the demand of a host to the allocator of its failure domain. The host
+   * receives its grants; other hosts receive theirs only if slots are recalled.
+   */
   #sendDemand(host: Host): void {
     if (this.#options.policy === "naive") return;
     const demands = host.policy.listDemand();
     const asOf = this.#timeline.now;
-    this.measure.messages += 1;
-    this.#timeline.after(MESSAGE_MS, () => {
+    this.recorder.messages += 1;
+    this.#timeline.after(MESSAGE_DELAY_MS, () => {
       const { now } = this.#timeline;
       const allocator = this.#getAllocator(host.domain);
       allocator.setDemand(host.name, { demands, now });
       const capacities = this.#listCapacities(host.domain);
       const grants = allocator.allocate(capacities, now);
-      this.#timeline.after(MESSAGE_MS, () => {
+      this.#timeline.after(MESSAGE_DELAY_MS, () => {
         this.#hosts.filter((other) => other.domain === host.domain)
           .forEach((other) => {
             const own = grants.get(other.name);
@@ -282,28 +295,34 @@
   }
 
   /**
-   * Demand for other failure domains, each answered by its own allocator; goes
-   * on to the next one while the one before left work waiting, as in the daemon.
+   * Sends overflow demand to other failure domains, whose allocators answer it.
+   * As in a real host, it goes on to further failure domains while requests are
+   * still waiting.
    */
   #sendOverflow(host: Host, asked: ReadonlySet<string> = new Set()): void {
     if (!(host.policy instanceof core.Dispatcher)) return;
-    host.turn += 1;
-    const domains = host.policy.listOverflow(host.turn).filter((domain) =>
+    host.demandRound += 1;
+    const domains = host.policy.listOverflow(host.demandRound).filter((
+      domain,
+    ) =>
       !asked.has(domain.failureDomain) && (asked.size === 0 || domain.waiting)
     );
     if (domains.length === 0) return;
     const names = domains.map((domain) => domain.failureDomain);
     const all = new Set([...asked, ...names]);
-    domains.forEach((domain) => this.#askDomain(host, domain));
-    const answeredMs = (2 * VISIT_HOPS + 1) * MESSAGE_MS;
-    this.#timeline.after(answeredMs, () => this.#sendOverflow(host, all));
+    domains.forEach((domain) => this.#sendRemoteDemand(host, domain));
+    const responseMs = (2 * LEADER_HOPS + 1) * MESSAGE_DELAY_MS;
+    this.#timeline.after(responseMs, () => this.#sendOverflow(host, all));
   }
 
-  #askDomain(host: Host, { failureDomain, demands }: core.DomainDemand): void {
+  #sendRemoteDemand(
+    host: Host,
+    { failureDomain, demands }: core.DomainDemand,
+  ): void {
     const { name } = host;
     const asOf = this.#timeline.now;
-    this.measure.messages += 1;
-    this.#timeline.after(VISIT_HOPS * MESSAGE_MS, () => {
+    this.recorder.messages += 1;
+    this.#timeline.after(LEADER_HOPS * MESSAGE_DELAY_MS, () => {
       const { now } = this.#timeline;
       const allocator = this.#getAllocator(failureDomain);
       const capacities = this.#listCapacities(failureDomain);
@@ -312,7 +331,7 @@
       const servers = allocator.listLentServers(name, capacities);
       const kind = "overflow_granted";
       this.#timeline.after(
-        VISIT_HOPS * MESSAGE_MS,
+        LEADER_HOPS * MESSAGE_DELAY_MS,
         () => this.#send(host, { kind, failureDomain, grants, servers, asOf }),
       );
     });
@@ -339,18 +358,23 @@
       });
   }
 
-  /** Whether lower work beyond its share runs where the request could have. */
-  #hasLowerWork(request: core.Request, host: Host): boolean {
-    const running = this.#backend.listWork(host.domain, request.target);
+  /**
+   * Whether attempts of a lower tier that exceed the share of their class run on
+   * servers that could run the request.
+   */
+  #hasLowerTierWork(request: core.Request, host: Host): boolean {
+    const running = this.#backend.listTasks(host.domain, request.target);
     const capacities = this.#listCapacities(host.domain);
-    return running.some(({ work, pool }) => {
-      const lower = work.request.tier > request.tier && work.request.repeatable;
+    return running.some(({ task, pool }) => {
+      const lower = task.request.tier > request.tier &&
+        task.request.repeatable;
       if (!lower) return false;
       const capacity = capacities.find((one) => one.pool === pool.name);
-      const share = capacity?.shares.get(work.request.className) ?? 0;
+      const share = capacity?.shares.get(task.request.className) ?? 0;
       const own = running.filter((other) =>
         other.pool === pool &&
-        other.work.request.className === work.request.className
+        other.task.request.className ===
+          task.request.className
       ).length;
       return own > Math.ceil(share * (capacity?.slots ?? 0));
     });
@@ -359,8 +383,11 @@
   // ---- load ----
 
   #scheduleArrival(load: scenarios.ClassLoad): void {
-    const gapMs = this.#load.drawGap(load, this.#timeline.now);
-    this.#timeline.after(gapMs, () => {
+    const interarrivalMs = this.#load.drawInterarrivalMs(
+      load,
+      this.#timeline.now,
+    );
+    this.#timeline.after(interarrivalMs, () => {
       this.#arrive(load);
       this.#scheduleArrival(load);
     });
@@ -370,8 +397,8 @@
     const { now } = this.#timeline;
     const drawn = this.#load.drawRequest(load, { now, fingerprint });
     const { request } = drawn;
-    this.#lengths.set(request.id, drawn.outputTokens);
-    this.measure.recordArrived(request);
+    this.#outputTokens.set(request.id, drawn.outputTokens);
+    this.recorder.recordArrived(request);
     this.#send(this.#hosts[drawn.host], { kind: "arrived", request });
   }
 }
--- a/bench/part.ts
+++ b/bench/suite.ts
@@ -1,22 +1,23 @@
-/** One part of the bench: a scenario's cases, or its autoscaled runs. */
+/** One suite of the benchmark: the cases of a scenario, or its autoscaling runs. */
 import * as fs from "node:fs";
 import * as path from "node:path";
 import * as table from "../packages/banyangrade/table.ts";
 import * as cases from "./cases.ts";
 import * as deployments from "./deployments.ts";
-import type * as measure from "./measure.ts";
+import type * as figureRecorder from "./figure_recorder.ts";
 import * as plot from "./plot.ts";
 import type * as scenarios from "./scenario.ts";
 import * as simulation from "./simulation.ts";
 
 const SEED = Number(process.env.BENCH_SEED ?? 20_261_203);
-const OUT = path.join(import.meta.dirname, "../docs/measurements");
-/** Length of a run of the autoscaler, and the period of its load, in ms. */
-const ELASTIC_MS = 600_000;
-const TIDE_MS = 300_000;
+const OUTPUT_FOLDER = path.join(import.meta.dirname, "../docs/measurements");
+/** Length of an autoscaling run, in virtual ms. */
+const AUTOSCALING_RUN_MS = 600_000;
+/** Period of the load in an autoscaling run, in virtual ms. */
+const LOAD_PERIOD_MS = 300_000;
 
-/** Fleets, and in how many failure domains spot servers are reclaimed at once. */
-const ELASTIC_RUNS = [
+/** Fleets, and the number of failure domains whose spot servers are reclaimed at once. */
+const AUTOSCALING_RUNS = [
   { fleet: "mixed", domains: 1 },
   { fleet: "mixed", domains: 9 },
   { fleet: "ordinary_only", domains: 1 },
@@ -29,16 +30,16 @@
   scenario: scenarios.Scenario,
   one: scenarios.Case,
   options: { readonly policy: PolicyName },
-): measure.RunFigures {
+): figureRecorder.RunFigures {
   const run = new simulation.Simulation({
     scenario,
-    troubles: one.troubles,
+    disturbances: one.disturbances,
     policy: options.policy,
     seed: SEED,
     runMs: cases.RUN_MS,
   });
   run.run();
-  return run.measure.sumUp(cases.RUN_MS);
+  return run.recorder.computeFigures(cases.RUN_MS);
 }
 
 function formatPercent(share: number): string {
@@ -48,7 +49,7 @@
 function formatRow(
   name: string,
   policy: string,
-  { figures }: { readonly figures: measure.RunFigures },
+  { figures }: { readonly figures: figureRecorder.RunFigures },
 ): (string | number)[] {
   return [
     name,
@@ -64,8 +65,8 @@
 }
 
 /**
- * Seconds from the end of the trouble until three points in a row are back at
- * 95% of the level before it.
+ * Formats the time from the end of the disturbance until the mean of three
+ * consecutive points is at least 95% of the level before it.
  */
 function formatRecovery(curve: readonly number[]): string {
   const pointMs = 2_000;
@@ -73,22 +74,22 @@
     curve.slice(from, to).reduce((sum, value) => sum + value, 0) / (to - from);
   const begin = cases.FROM / pointMs;
   const end = cases.TO / pointMs;
-  const level = 0.95 * mean(begin / 2, begin);
-  const back = curve.findIndex((_, index) =>
-    index >= end && mean(index, index + 3) >= level
+  const threshold = 0.95 * mean(begin / 2, begin);
+  const recoveredAt = curve.findIndex((_, index) =>
+    index >= end && mean(index, index + 3) >= threshold
   );
-  return back < 0 ? "not" : `${(back - end) * pointMs / 1_000} s`;
+  return recoveredAt < 0 ? "not" : `${(recoveredAt - end) * pointMs / 1_000} s`;
 }
 
-/** Runs all cases of a scenario; returns its table and draws its plot. */
+/** Runs the cases of a scenario under both policies; returns the tables and curves. */
 function runScenario(
   scenario: scenarios.Scenario,
-  chosen: string | undefined,
+  caseFilter: string | undefined,
 ): { readonly text: string; readonly curves: readonly plot.Curve[] } {
   const curves: plot.Curve[] = [];
-  const misses: (readonly [string, measure.RunFigures])[] = [];
+  const misses: (readonly [string, figureRecorder.RunFigures])[] = [];
   const rows = cases.CASES
-    .filter((one) => chosen === undefined || one.name.includes(chosen))
+    .filter((one) => caseFilter === undefined || one.name.includes(caseFilter))
     .flatMap((one) =>
       (["banyangrade", "naive"] as const).map((policy) => {
         const figures = runCase(scenario, one, { policy });
@@ -116,10 +117,10 @@
   return { text, curves };
 }
 
-/** Why requests missed, in % of those that arrived. */
+/** Formats the reasons for missed targets, in % of the requests that arrived. */
 function formatMisses(
   scenario: scenarios.Scenario,
-  runs: readonly (readonly [string, measure.RunFigures])[],
+  runs: readonly (readonly [string, figureRecorder.RunFigures])[],
 ): string {
   const rows = runs.map(([name, figures]) => [
     name,
@@ -132,35 +133,35 @@
     `refused, in %\n${table.formatTable(headings, rows)}\n`;
 }
 
-/** Runs the autoscaler under a tide with a reclaimed failure domain. */
-function runElastic(scenario: scenarios.Scenario): string {
-  const rows = ELASTIC_RUNS.map(({ fleet, domains }) => {
+/** Runs the autoscaler under periodic load while spot servers are reclaimed. */
+function runAutoscaled(scenario: scenarios.Scenario): string {
+  const rows = AUTOSCALING_RUNS.map(({ fleet, domains }) => {
     const run = new simulation.Simulation({
-      scenario: deployments.buildElastic(scenario, fleet),
-      troubles: [
-        { kind: "tide", periodMs: TIDE_MS, low: 0.3 },
+      scenario: deployments.buildAutoscaled(scenario, fleet),
+      disturbances: [
+        { kind: "periodic_load", periodMs: LOAD_PERIOD_MS, lowestShare: 0.3 },
         {
           kind: "reclaim",
           at: 140_000,
           noticeMs: 5_000,
-          backAt: 220_000,
+          restoredAt: 220_000,
           domains,
         },
         {
           kind: "reclaim",
           at: 400_000,
           noticeMs: 5_000,
-          backAt: 460_000,
+          restoredAt: 460_000,
           domains,
         },
       ],
       policy: "banyangrade",
       seed: SEED,
-      runMs: ELASTIC_MS,
+      runMs: AUTOSCALING_RUN_MS,
       scaling: true,
     });
     run.run();
-    const figures = run.measure.sumUp(ELASTIC_MS);
+    const figures = run.recorder.computeFigures(AUTOSCALING_RUN_MS);
     return [
       domains === 1 ? fleet : `${fleet}, all reclaimed`,
       ...figures.classes.map((own) => formatPercent(own.attainment)),
@@ -178,19 +179,22 @@
     `a million tokens\n${table.formatTable(headings, rows)}\n`;
 }
 
-const [part, name, chosen] = process.argv.slice(2);
+const [suite, name, caseFilter] = process.argv.slice(2);
 const scenario = [deployments.TANZRAUM, deployments.JADELEAF]
   .find((one) => one.name === name);
-if (scenario === undefined) throw new Error(`There is no scenario "${name}".`);
-if (part === "autoscaled") {
-  process.stdout.write(`${runElastic(scenario)}\n`);
+if (scenario === undefined) throw new Error(`unknown scenario "${name}"`);
+if (suite === "autoscaled") {
+  process.stdout.write(`${runAutoscaled(scenario)}\n`);
 } else {
-  const ran = runScenario(scenario, chosen);
-  process.stdout.write(`${ran.text}\n`);
-  if (chosen === undefined) {
-    const svg = await plot.renderCurves(ran.curves, {
+  const result = runScenario(scenario, caseFilter);
+  process.stdout.write(`${result.text}\n`);
+  if (caseFilter === undefined) {
+    const svg = await plot.renderCurves(result.curves, {
       title: `${scenario.name}: requests that met their target, each 2 s`,
     });
-    fs.writeFileSync(path.join(OUT, `bench_${scenario.name}.svg`), svg);
+    fs.writeFileSync(
+      path.join(OUTPUT_FOLDER, `bench_${scenario.name}.svg`),
+      svg,
+    );
   }
 }
--- a/bench/timeline.ts
+++ b/bench/timeline.ts
@@ -1,4 +1,4 @@
-/** Virtual time: what happens when, in an order that is always the same. */
+/** Virtual time with a deterministic order of events. */
 import * as tinyqueue from "tinyqueue";
 
 interface Timed {
@@ -7,7 +7,7 @@
   readonly run: () => void;
 }
 
-/** Runs what was scheduled, in order of time and then of scheduling. */
+/** Runs scheduled callbacks by time; callbacks of the same time run in scheduling order. */
 export class Timeline {
   readonly #queue = new tinyqueue.default<Timed>(
     [],
@@ -16,18 +16,18 @@
   #now = 0;
   #order = 0;
 
-  /** Virtual ms since the start. */
+  /** Virtual time since the start, in ms. */
   get now(): number {
     return this.#now;
   }
 
-  /** Schedules something, in ms from now. */
+  /** Schedules a callback that runs `ms` after the current virtual time. */
   after(ms: number, run: () => void): void {
     this.#order += 1;
     this.#queue.push({ at: this.#now + ms, order: this.#order, run });
   }
 
-  /** Runs everything up to a moment. */
+  /** Runs all callbacks that are due at or before `end`. */
   runUntil(end: number): void {
     for (
       let next = this.#queue.pop();
