--- a/bench/load.ts
+++ b/bench/load.ts
@@ -109,7 +109,7 @@
   engines: Array.from({ length: 4 }, () => "rosenheim-engines"),
   services: ["rosenheim-rooms"],
   serviceFiles: path.join(import.meta.dirname, "services"),
-  shape: {
+  engineParameters: {
     maxBatch: 1_024,
     stepMs: 8,
     stepPerSequenceMs: 0,
--- a/bench/simulation_test.ts
+++ b/bench/simulation_test.ts
@@ -26,39 +26,34 @@
 
 // Guards against a dispatcher that, under a burst with a slow and a crashed engine,
 // refuses a higher tier while lower tiers run, starves a class or wastes tokens.
-tap.t.test(
-  "overload with a slow engine and a crash keeps the tier guarantees",
-  (t) => {
-    const ours = runPolicy("banyangrade");
-    const naive = runPolicy("naive");
-    t.equal(
-      ours.violations,
-      0,
-      "no request is refused while attempts of a lower tier exceed their share",
+tap.t.test("burst with a slow engine and a crash", (t) => {
+  const ours = runPolicy("banyangrade");
+  const naive = runPolicy("naive");
+  t.equal(
+    ours.violations,
+    0,
+    "no request is refused while attempts of a lower tier exceed their share",
+  );
+  const upper = (figures: figureRecorder.RunFigures) =>
+    Math.min(
+      ...figures.classes.filter((own) => own.tier === 1)
+        .map((own) => own.attainment),
     );
-    const upper = (figures: figureRecorder.RunFigures) =>
-      Math.min(
-        ...figures.classes.filter((own) => own.tier === 1)
-          .map((own) => own.attainment),
-      );
-    t.ok(
-      upper(ours) > 0.9,
-      `attainment of tier 1: ${upper(ours)}, expected > 0.9`,
-    );
-    t.ok(
-      upper(ours) > upper(naive),
-      `attainment of tier 1 exceeds that of the naive baseline: ${
-        upper(naive)
-      }`,
-    );
-    t.ok(
-      ours.classes.every((own) => own.attainment > 0),
-      "every class has requests that meet their target",
-    );
-    t.ok(
-      ours.wasted < 0.02,
-      `share of wasted tokens: ${ours.wasted}, expected < 0.02`,
-    );
-    t.end();
-  },
-);
+  t.ok(
+    upper(ours) > 0.9,
+    `attainment of tier 1: ${upper(ours)}, expected > 0.9`,
+  );
+  t.ok(
+    upper(ours) > upper(naive),
+    `attainment of tier 1 exceeds that of the naive baseline: ${upper(naive)}`,
+  );
+  t.ok(
+    ours.classes.every((own) => own.attainment > 0),
+    "every class has requests that meet their target",
+  );
+  t.ok(
+    ours.wasted < 0.02,
+    `share of wasted tokens: ${ours.wasted}, expected < 0.02`,
+  );
+  t.end();
+});
--- a/playground/cluster.ts
+++ b/playground/cluster.ts
@@ -1,7 +1,7 @@
 /**
- * A small deployment on loopback: stand-ins in this process and hosts as
- * processes of their own. Used by the demo, the measurements and the tests
- * that need real processes.
+ * Runs a small deployment on the loopback interface: fakes of the store, the
+ * platform and the backend servers in this process, and each host in a child
+ * process. The demo, the benchmarks and the process tests use it.
  */
 import * as childProcess from "node:child_process";
 import * as fs from "node:fs";
@@ -22,25 +22,26 @@
 
 /** Options of {@link startCluster}. */
 export interface ClusterOptions {
-  /** Failure domain of each host, in order. */
+  /** Failure domain of each host. */
   readonly hosts: readonly string[];
-  /** Engines: pool of each one. */
+  /** Pool of each fake engine. */
   readonly engines: readonly string[];
-  /** Plain services: pool of each one. */
+  /** Pool of each fake service that is not an engine. */
   readonly services: readonly string[];
-  /** Folder with the service files to publish. */
+  /** Folder of the service files to publish. */
   readonly serviceFiles: string;
-  readonly shape?: engineModel.EngineShape;
+  /** Capacity and timing of the fake engines. */
+  readonly engineParameters?: engineModel.EngineShape;
   readonly windowSeconds?: number;
   readonly leaseSeconds?: number;
   readonly offlineSeconds?: number;
-  /** Whether hosts reach each other by ways that can be cut. @default false */
+  /** Whether hosts reach each other through forwarders that can be disconnected. @default false */
   readonly cuttable?: boolean;
-  /** @default "info", into a file for each host */
+  /** Log level of the hosts, each of which logs to its own file. @default "info" */
   readonly logLevel?: string;
 }
 
-/** A host's process. */
+/** The child process of a host. */
 export interface HostProcess {
   readonly name: string;
   readonly failureDomain: string;
@@ -56,22 +57,22 @@
   readonly folder: string;
   readonly operatorFile: string;
   readonly store: storeFake.FakeStore;
-  /** Each failure domain's way to the store, which can be cut. */
+  /** URL of the store for each failure domain; each can be disconnected separately. */
   readonly storeWays: ReadonlyMap<string, string>;
   readonly fleet: fleetFake.FakeFleet;
   readonly usage: usageFake.FakeUsage;
   readonly engines: readonly engineFake.FakeEngine[];
   readonly services: readonly serviceFake.FakeService[];
   readonly hosts: HostProcess[];
-  /** Ways from other hosts to each host, in order; none unless cuttable. */
+  /** The forwarder in front of the peer port of each host; empty unless the option is set. */
   readonly peerWays: readonly forwarder.Forwarder[];
-  /** Starts a host again, under its old name and addresses. */
+  /** Starts a new process for a host with the same name and addresses. */
   readonly restartHost: (index: number) => Promise<void>;
-  /** Runs an operator's command; the output is what it printed. */
+  /** Runs an operator command and returns its exit code and output. */
   readonly runCommand: (
-    words: readonly string[],
+    args: readonly string[],
   ) => Promise<{ readonly code: number; readonly output: string }>;
-  /** Creates a key and returns it. */
+  /** Creates an API key and returns it. */
   readonly createKey: (
     customer: string,
     classes: readonly string[],
@@ -85,17 +86,18 @@
   readonly caller: number;
   readonly operations: number;
   readonly peer: number;
-  /** Port by which other hosts reach it. */
+  /** Port that other hosts connect to: the peer port or its forwarder. */
   readonly advertised: number;
 }
 
-/** Hosts that stand in the settings of each host. */
-const SEEDS = 4;
-/** Longest time a host may take to become ready, in ms. */
-const READY_MS = 60_000;
+/** Number of seed hosts in the settings of each host. */
+const SEED_HOSTS = 4;
+/** Timeout for a host to become ready, in ms. */
+const READY_TIMEOUT_MS = 60_000;
 
 /**
- * Starts a deployment and publishes its service files.
+ * Starts a deployment, waits until its hosts are ready and publishes its service
+ * files.
  *
  * @example
  * const cluster = await startCluster(options);
@@ -106,7 +108,7 @@
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), "banyangrade-"));
   const secretFile = path.join(folder, "secret");
   fs.writeFileSync(secretFile, `${utils.createId()}\n`, { mode: 0o600 });
-  const standIns = await startStandIns(options);
+  const fakes = await startFakes(options);
   const planned = await planHosts(options.hosts);
   const peerWays = options.cuttable === true
     ? await Promise.all(
@@ -118,13 +120,13 @@
     advertised: peerWays[index]?.port ?? plan.peer,
   }));
   const settingsFiles = plans.map((plan) =>
-    writeSettings(plan, { plans, folder, secretFile, standIns, options })
+    writeSettings(plan, { plans, folder, secretFile, fakes, options })
   );
   const operatorFile = path.join(folder, "operator.toml");
   fs.writeFileSync(
     operatorFile,
     toml.stringify({
-      store_url: standIns.store.url,
+      store_url: fakes.store.url,
       hosts: plans.map((plan) => `127.0.0.1:${plan.peer}`),
       secret_file: secretFile,
     }),
@@ -132,15 +134,16 @@
   const hosts = plans.map((plan, index) =>
     spawnHost(plan, { folder, settingsFile: settingsFiles[index] })
   );
-  // Hosts of a start that failed must not outlive it.
+  // Kills the hosts if this process exits without close(), for example because the
+  // start failed; they would keep running otherwise.
   process.once(
     "exit",
     () => hosts.forEach((host) => host.child.kill("SIGKILL")),
   );
   await Promise.all(hosts.map((host) => waitReady(host)));
 
-  const runCommand = (words: readonly string[]) =>
-    runProgram([...words, "--operator", operatorFile]);
+  const runCommand = (args: readonly string[]) =>
+    runProgram([...args, "--operator", operatorFile]);
   const published = await runCommand([
     "publish",
     "--services",
@@ -151,7 +154,7 @@
   return {
     folder,
     operatorFile,
-    ...standIns,
+    ...fakes,
     hosts,
     peerWays,
     restartHost: async (index) => {
@@ -163,38 +166,38 @@
     },
     runCommand,
     createKey: async (customer, classes) => {
-      const ran = await runCommand([
+      const result = await runCommand([
         "key",
         "create",
         customer,
         ...classes,
         "--json",
       ]);
-      return JSON.parse(ran.output).key as string;
+      return JSON.parse(result.output).key as string;
     },
     close: async () => {
       hosts.forEach((host) => host.child.kill("SIGKILL"));
-      await Promise.all(peerWays.map((way) => way.close()));
-      await standIns.close();
+      await Promise.all(peerWays.map((peerForwarder) => peerForwarder.close()));
+      await fakes.close();
       fs.rmSync(folder, { recursive: true, force: true });
     },
   };
 }
 
 /**
- * Runs the program to its end. Not the synchronous way: the stand-ins that it
- * talks to live in this process.
+ * Runs the program until it exits. The call is asynchronous because the program
+ * talks to the fakes in this process, which a synchronous call would block.
  *
  * @example
- * const ran = await runProgram(["check", "--settings", "host.toml"]);
+ * const result = await runProgram(["check", "--settings", "host.toml"]);
  */
 export function runProgram(
-  words: readonly string[],
+  args: readonly string[],
 ): Promise<{ readonly code: number; readonly output: string }> {
   return new Promise((resolve) => {
     childProcess.execFile(
       process.execPath,
-      [build.BUNDLE, ...words],
+      [build.BUNDLE, ...args],
       { encoding: "utf8" },
       (error, stdout, stderr) =>
         resolve({
@@ -205,7 +208,7 @@
   });
 }
 
-interface StandIns {
+interface Fakes {
   readonly store: storeFake.FakeStore;
   readonly storeWays: ReadonlyMap<string, string>;
   readonly fleet: fleetFake.FakeFleet;
@@ -215,7 +218,7 @@
   readonly close: () => Promise<void>;
 }
 
-async function startStandIns(options: ClusterOptions): Promise<StandIns> {
+async function startFakes(options: ClusterOptions): Promise<Fakes> {
   const store = await storeFake.startFakeStore({});
   const domains = [...new Set(options.hosts)];
   const storeWays = new Map(
@@ -229,17 +232,21 @@
   const usage = await usageFake.startFakeUsage(0);
   const engines = await Promise.all(
     options.engines.map(() =>
-      engineFake.startFakeEngine({ shape: options.shape })
+      engineFake.startFakeEngine({ shape: options.engineParameters })
     ),
   );
   const services = await Promise.all(
     options.services.map(() => serviceFake.startFakeService({})),
   );
   const infos = [
-    ...engines.map((one, index) => toInfo(one.url, options.engines[index])),
-    ...services.map((one, index) => toInfo(one.url, options.services[index])),
+    ...engines.map((one, index) =>
+      toServerInfo(one.url, options.engines[index])
+    ),
+    ...services.map((one, index) =>
+      toServerInfo(one.url, options.services[index])
+    ),
   ];
-  // A pool's name begins with its failure domain's.
+  // The name of a pool begins with the name of its failure domain.
   domains.forEach((domain) =>
     fleet.setServers(
       domain,
@@ -260,7 +267,7 @@
   };
 }
 
-function toInfo(url: string, pool: string): core.ServerInfo {
+function toServerInfo(url: string, pool: string): core.ServerInfo {
   return { name: `${pool}-${new URL(url).port}`, pool, url, state: "live" };
 }
 
@@ -281,11 +288,11 @@
 
 function writeSettings(
   plan: HostPlan,
-  { plans, folder, secretFile, standIns, options }: {
+  { plans, folder, secretFile, fakes, options }: {
     readonly plans: readonly HostPlan[];
     readonly folder: string;
     readonly secretFile: string;
-    readonly standIns: StandIns;
+    readonly fakes: Fakes;
     readonly options: ClusterOptions;
   },
 ): string {
@@ -298,17 +305,17 @@
       address: `127.0.0.1:${plan.peer}`,
       advertised_address: `127.0.0.1:${plan.advertised}`,
       secret_file: secretFile,
-      // A few are enough: the others are learned from them.
-      seeds: plans.slice(0, SEEDS).map((other) => ({
+      // A few seeds suffice, as a host learns of all other hosts from them.
+      seeds: plans.slice(0, SEED_HOSTS).map((other) => ({
         name: other.name,
         failure_domain: other.failureDomain,
         address: `127.0.0.1:${other.advertised}`,
       })),
     },
     platform: {
-      store_url: standIns.storeWays.get(plan.failureDomain) ?? "",
-      fleet_url: standIns.fleet.url,
-      usage_url: standIns.usage.url,
+      store_url: fakes.storeWays.get(plan.failureDomain) ?? "",
+      fleet_url: fakes.fleet.url,
+      usage_url: fakes.usage.url,
     },
     usage: { window_seconds: options.windowSeconds ?? 60, grace_seconds: 2 },
     control: {
@@ -348,7 +355,7 @@
 }
 
 async function waitReady(host: HostProcess): Promise<void> {
-  const until = Date.now() + READY_MS;
+  const until = Date.now() + READY_TIMEOUT_MS;
   while (Date.now() < until) {
     const ready = await fetch(`${host.operationsUrl}/readyz`)
       .then((answer) => answer.ok, () => false);
--- a/playground/demo.ts
+++ b/playground/demo.ts
@@ -1,4 +1,4 @@
-/** The demo: three hosts and the stand-ins on loopback, ready for a first request. */
+/** `npm run demo`: starts three hosts with fake backend servers on the loopback interface. */
 import * as path from "node:path";
 import * as clusterModule from "./cluster.ts";
 
@@ -27,8 +27,8 @@
 curl ${first.callerUrl}/services/rooms/monday -H 'Authorization: Bearer ${key}' -H 'X-Class: lookup'
 
 Status page:  ${first.operationsUrl}/
-Operators:    npx tsx packages/banyangrade/main.ts status --operator ${cluster.operatorFile}
-Ctrl-C ends everything.
+Operator CLI: npx tsx packages/banyangrade/main.ts status --operator ${cluster.operatorFile}
+Press Ctrl-C to stop.
 `);
 
 const stop = () => {
--- a/playground/forwarder.ts
+++ b/playground/forwarder.ts
@@ -1,20 +1,20 @@
-/** A way between hosts that tests can cut: TCP connections, passed on or broken. */
+/** A TCP forwarder between hosts, with which tests simulate a network partition. */
 import * as net from "node:net";
 
-/** A way to one address. */
+/** A TCP forwarder to one port. */
 export interface Forwarder {
   readonly port: number;
-  /** Breaks what is open and takes nothing new, until it is healed. */
+  /** With true, closes all connections and rejects new ones; with false, accepts them again. */
   readonly setCut: (cut: boolean) => void;
   readonly close: () => Promise<void>;
 }
 
 /**
- * Starts a way to a port on loopback.
+ * Starts a forwarder to a port on the loopback interface.
  *
  * @example
- * const way = await startForwarder(7080);
- * way.setCut(true);
+ * const peerForwarder = await startForwarder(7080);
+ * await peerForwarder.close();
  */
 export async function startForwarder(target: number): Promise<Forwarder> {
   const sockets = new Set<net.Socket>();
@@ -24,7 +24,7 @@
     socket.on("error", () => undefined);
     socket.on("close", () => sockets.delete(socket));
   };
-  const breakAll = () => sockets.forEach((socket) => socket.destroy());
+  const closeAll = () => sockets.forEach((socket) => socket.destroy());
   const server = net.createServer((incoming) => {
     track(incoming);
     if (isCut) return void incoming.destroy();
@@ -39,10 +39,10 @@
     port: (server.address() as net.AddressInfo).port,
     setCut: (cut) => {
       isCut = cut;
-      if (cut) breakAll();
+      if (cut) closeAll();
     },
     close: () => {
-      breakAll();
+      closeAll();
       return new Promise((resolve) => server.close(() => resolve()));
     },
   };
--- a/scripts/build.ts
+++ b/scripts/build.ts
@@ -1,6 +1,6 @@
 /**
- * Builds the program: one bundled file, and from it one binary that needs no
- * installed Node (a Node executable with the bundle injected).
+ * Builds the program: a bundle that runs with Node, and a single executable
+ * application, which is a copy of the Node executable with the bundle injected.
  */
 import * as childProcess from "node:child_process";
 import * as fs from "node:fs";
@@ -8,12 +8,12 @@
 import * as esbuild from "esbuild";
 
 const ROOT = path.join(import.meta.dirname, "..");
-const OUT = path.join(ROOT, "dist");
-/** Bundle that runs with an installed Node. */
-export const BUNDLE = path.join(OUT, "banyangrade.cjs");
-const BINARY = path.join(OUT, "banyangrade");
-/** Marker that Node looks for in its own executable; fixed by Node. */
-const FUSE = "NODE_SEA_FUSE_fce680ab2cc467b6e072b8b5df1996b2";
+const OUTPUT_FOLDER = path.join(ROOT, "dist");
+/** Path of the bundle, which runs with an installed Node. */
+export const BUNDLE = path.join(OUTPUT_FOLDER, "banyangrade.cjs");
+const BINARY = path.join(OUTPUT_FOLDER, "banyangrade");
+/** Sentinel that Node searches for in its executable; defined by Node. */
+const SENTINEL = "NODE_SEA_FUSE_fce680ab2cc467b6e072b8b5df1996b2";
 
 /**
  * Bundles the program into one file.
@@ -25,19 +25,22 @@
   await bundle({ entry: "packages/banyangrade/main.ts", outfile: BUNDLE });
 }
 
-/** What to bundle, and how. */
+/** Options of {@link bundleText}. */
 export interface BundleOptions {
-  /** Path from the root. */
+  /** Path relative to the root of the repository. */
   readonly entry: string;
   readonly minify?: boolean;
-  /** Files, from the root, that take the place of modules by their exact names. */
+  /**
+   * Files that replace modules, by the pattern that the whole import specifier
+   * must match; paths are relative to the root of the repository.
+   */
   readonly replacements?: Readonly<Record<string, string>>;
-  /** Names that are replaced by constants. */
+  /** Global identifiers that are replaced by constant expressions. */
   readonly define?: Record<string, string>;
 }
 
 /**
- * Bundles one entry file with all that it imports.
+ * Bundles an entry file with its imports and writes the bundle to `outfile`.
  *
  * @example
  * await bundle({ entry: "platform/main.ts", outfile: "dist/host.cjs" });
@@ -49,15 +52,15 @@
   fs.writeFileSync(outfile, (await bundleText(options)).text);
 }
 
-/** A bundle. */
+/** The text of a bundle and its inputs. */
 export interface Bundled {
   readonly text: string;
-  /** Files that are in it, from the folder of the process. */
+  /** Input files that contribute to the bundle, relative to the working directory. */
   readonly files: readonly string[];
 }
 
 /**
- * Bundles one entry file and returns the text.
+ * Bundles an entry file with its imports and returns the text.
  *
  * @example
  * const { text } = await bundleText({ entry: "platform/main.ts", minify: true });
@@ -78,7 +81,7 @@
     minifySyntax: true,
     logLevel: "warning",
     define,
-    plugins: [swapModules(replacements)],
+    plugins: [createReplacementPlugin(replacements)],
   });
   const [{ inputs }] = Object.values(metafile.outputs);
   const files = Object.entries(inputs)
@@ -87,7 +90,7 @@
   return { text: outputFiles[0].text, files };
 }
 
-function swapModules(
+function createReplacementPlugin(
   replacements: Readonly<Record<string, string>>,
 ): esbuild.Plugin {
   return {
@@ -103,8 +106,8 @@
 }
 
 function buildBinary(): void {
-  const config = path.join(OUT, "sea.json");
-  const blob = path.join(OUT, "sea.blob");
+  const config = path.join(OUTPUT_FOLDER, "sea.json");
+  const blob = path.join(OUTPUT_FOLDER, "sea.blob");
   fs.writeFileSync(
     config,
     JSON.stringify({
@@ -122,12 +125,12 @@
     "NODE_SEA_BLOB",
     blob,
     "--sentinel-fuse",
-    FUSE,
+    SENTINEL,
   ]);
 }
 
-function run(command: string, options: readonly string[]): void {
-  childProcess.execFileSync(command, [...options], { stdio: "inherit" });
+function run(command: string, args: readonly string[]): void {
+  childProcess.execFileSync(command, [...args], { stdio: "inherit" });
 }
 
 if (process.argv[1] === import.meta.filename) {
--- a/scripts/check_style.ts
+++ b/scripts/check_style.ts
@@ -1,11 +1,11 @@
-/** Checks the house style where the formatter and linter do not see it. */
+/** Checks the rules of the code style that the formatter and the linter do not cover. */
 import * as fs from "node:fs";
 import * as path from "node:path";
 import * as ts from "typescript";
 
 const ROOT = path.join(import.meta.dirname, "..");
 
-/** Verbs with which functions begin; docs/STYLE.md lists them with their meanings. */
+/** Verbs with which names of functions begin; docs/STYLE.md explains each of them. */
 const VERBS: ReadonlySet<string> = new Set(
   ("abandon accept acknowledge acquire add admit advance allocate allow answer " +
     "add after append apply arrive ask assert await begin build bundle call cancel carry check choose claim " +
@@ -23,7 +23,10 @@
     .split(" "),
 );
 
-/** Packages that a package may import; imports point from the program to the core. */
+/**
+ * Packages that each package may import, so that the core depends on nothing but
+ * utils; packages without an entry may import all.
+ */
 const ALLOWED_IMPORTS: Readonly<Record<string, readonly string[]>> = {
   utils: [],
   core: ["utils"],
@@ -54,17 +57,17 @@
     .map((name) => path.join(ROOT, folder, name));
 }
 
-/** Names of the users' platform, which only its adapter may know. */
+/** Names of the users' platform, which only the adapter in platform/ may use. */
 const PLATFORM_NAMES =
   /banyangrade-(attempt-id|deadline-ms|server-stamp|duty-holder|fencing-token|expected-instance|not-executed)|\bkv-(txn|watch|range|lease|key|keep)\b|\bop\/config\b/i;
 
 function checkFile(name: string): void {
   const text = fs.readFileSync(name, "utf8");
   const relative = path.relative(ROOT, name);
-  const knows = relative.startsWith("platform") ||
+  const mayUsePlatformNames = relative.startsWith("platform") ||
     relative.startsWith(path.join("scripts", "check_style"));
-  if (!knows && PLATFORM_NAMES.test(text)) {
-    problems.push(`${relative}:1: a name of the platform outside platform/`);
+  if (!mayUsePlatformNames && PLATFORM_NAMES.test(text)) {
+    problems.push(`${relative}:1: platform name; use it only in platform/`);
   }
   const file = ts.createSourceFile(
     name,
@@ -74,11 +77,15 @@
   );
   if (!/^\/\*\*/.test(text)) {
     problems.push(
-      `${path.relative(ROOT, name)}:1: no doc comment on the module`,
+      `${
+        path.relative(ROOT, name)
+      }:1: missing doc comment; begin the file with /** ... */`,
     );
   }
   if (!/^[a-z0-9_]+\.ts$/.test(path.basename(name))) {
-    problems.push(`${path.relative(ROOT, name)}:1: file names are snake_case`);
+    problems.push(
+      `${path.relative(ROOT, name)}:1: file name is not in snake_case`,
+    );
   }
   walk(file, (node) => checkNode(file, node));
 }
@@ -91,21 +98,21 @@
 function checkNode(file: ts.SourceFile, node: ts.Node): void {
   if (ts.isImportDeclaration(node)) return checkImport(file, node);
   if (ts.isEnumDeclaration(node)) {
-    report(file, node, "no enum: take a string union");
+    report(file, node, "enum is not allowed; use a string union");
   }
   const inherits = ts.isClassDeclaration(node) &&
     (node.heritageClauses ?? []).some((clause) =>
       clause.token === ts.SyntaxKind.ExtendsKeyword
     );
   if (inherits) {
-    report(file, node, "no inheritance");
+    report(file, node, "inheritance is not allowed; use composition");
   }
   if (ts.isFunctionDeclaration(node)) checkFunction(file, node);
   if (ts.isMethodDeclaration(node) && ts.isClassDeclaration(node.parent)) {
     checkVerb(file, node, node.name.getText(file).replace("#", ""));
   }
   if (isExported(node) && !hasDoc(node)) {
-    report(file, node, "no doc comment on an exported item");
+    report(file, node, "exported item has no doc comment");
   }
 }
 
@@ -113,20 +120,20 @@
   const bindings = node.importClause?.namedBindings;
   const isNamespace = bindings !== undefined && ts.isNamespaceImport(bindings);
   if (!isNamespace || node.importClause?.name !== undefined) {
-    report(file, node, "imports are namespace imports");
+    report(file, node, 'import is not allowed; use "import * as name"');
   }
   const target = (node.moduleSpecifier as ts.StringLiteral).text;
-  const inPackage = /packages\/([a-z]+)\//.exec(file.fileName)?.[1];
-  if (inPackage === undefined) return;
+  const importer = /packages\/([a-z]+)\//.exec(file.fileName)?.[1];
+  if (importer === undefined) return;
   const test = file.fileName.endsWith("_test.ts");
   if (target === "node:child_process" && !test) {
-    report(file, node, "the product starts no process");
+    report(file, node, "node:child_process is allowed in tests only");
   }
   const imported = /^@banyangrade\/([a-z]+)/.exec(target)?.[1];
-  const allowed = ALLOWED_IMPORTS[inPackage];
+  const allowed = ALLOWED_IMPORTS[importer];
   if (imported === undefined || allowed === undefined || test) return;
   if (!allowed.includes(imported)) {
-    report(file, node, `${inPackage} may not import ${imported}`);
+    report(file, node, `package ${importer} may not import ${imported}`);
   }
 }
 
@@ -140,25 +147,29 @@
     node.parameters.length > 2 && !ts.isTypePredicateNode(node.type ?? node)
   ) {
     const last = node.parameters[2];
-    const options = node.parameters.length === 3 &&
+    const hasOptions = node.parameters.length === 3 &&
       /options|Options/.test(last.getText(file));
-    if (!options) {
-      report(file, node, "more than two parameters: take an options object");
+    if (!hasOptions) {
+      report(file, node, "more than two parameters; use an options object");
     }
   }
   const isCommand = file.fileName.includes("/commands/");
-  const documented = ts.getJSDocTags(node).some((tag) =>
+  const hasExample = ts.getJSDocTags(node).some((tag) =>
     tag.tagName.text === "example"
   );
-  if (!documented && !isCommand && !file.fileName.endsWith("_test.ts")) {
-    report(file, node, "no @example on an exported function");
+  if (!hasExample && !isCommand && !file.fileName.endsWith("_test.ts")) {
+    report(file, node, "exported function has no @example");
   }
 }
 
 function checkVerb(file: ts.SourceFile, node: ts.Node, name: string): void {
   const verb = /^[a-z]+/.exec(name)?.[0] ?? "";
   if (!VERBS.has(verb)) {
-    report(file, node, `"${name}" does not begin with a verb of docs/STYLE.md`);
+    report(
+      file,
+      node,
+      `"${name}" does not begin with a verb listed in docs/STYLE.md`,
+    );
   }
 }
 
--- a/scripts/compare_reports.ts
+++ b/scripts/compare_reports.ts
@@ -1,14 +1,14 @@
 /**
- * Makes a table of the plays of one or two sets: mean and spread of the worth,
- * its parts and prices, and the difference over the plays that both have.
- * `scripts/play_days.sh` makes such sets.
+ * Compares sets of run reports that `scripts/play_days.sh` wrote: prints mean and
+ * standard deviation of the score, its parts and its penalties for each set, and
+ * the difference between the first two sets over the runs that all sets contain.
  */
 import * as fs from "node:fs";
 import * as path from "node:path";
 import * as table from "cli-table3";
 import * as stats from "simple-statistics";
 
-/** What of a play's report is compared. */
+/** The compared fields of a run report. */
 interface Report {
   readonly G: number;
   readonly parts: readonly (readonly [string, number, number])[];
@@ -21,12 +21,12 @@
   readonly missed: readonly string[];
 }
 
-/** Prices below this worth, in all plays, get no row. */
-const LEAST_PRICE = 0.001;
+/** Penalties below this value in all runs are left out of the table. */
+const MIN_PRICE = 0.001;
 
-type Set = ReadonlyMap<string, Report>;
+type ReportSet = ReadonlyMap<string, Report>;
 
-function readSet(folder: string): Set {
+function readSet(folder: string): ReportSet {
   return new Map(
     fs.readdirSync(folder).filter((name) => name.endsWith(".json"))
       .toSorted()
@@ -37,7 +37,7 @@
   );
 }
 
-/** Figures of a play by name. */
+/** Returns the figures of a run by name. */
 function listFigures(report: Report): ReadonlyMap<string, number> {
   return new Map([
     ["worth", report.G],
@@ -59,32 +59,32 @@
   return `${stats.mean(sorted).toFixed(4)} ±${spread.toFixed(3)}`;
 }
 
-function printTable(sets: readonly Set[], keys: readonly string[]): void {
+function printTable(sets: readonly ReportSet[], keys: readonly string[]): void {
   const figures = sets.map((set) =>
     keys.map((key) => listFigures(set.get(key) as Report))
   );
   const names = [...new Set(figures.flat().flatMap((one) => [...one.keys()]))];
-  const out = new table.default({
+  const output = new table.default({
     head: ["", ...sets.map((_, index) => `set ${index + 1}`), "difference"],
     style: { head: [], border: [] },
   });
   names.forEach((name) => {
-    const columns = figures.map((plays) =>
-      plays.map((one) => one.get(name) ?? 0)
+    const columns = figures.map((runs) =>
+      runs.map((one) => one.get(name) ?? 0)
     );
-    const small = columns.flat().every((value) =>
-      Math.abs(value) < LEAST_PRICE
+    const isNegligible = columns.flat().every((value) =>
+      Math.abs(value) < MIN_PRICE
     );
-    if (name.startsWith("price") && small) return;
+    if (name.startsWith("price") && isNegligible) return;
     const [first, second] = columns;
     const differences = second?.map((value, index) => value - first[index]);
-    out.push([
+    output.push([
       name,
       ...columns.map(describe),
       differences ? describe(differences) : "",
     ]);
   });
-  process.stdout.write(`${out.toString()}\n`);
+  process.stdout.write(`${output.toString()}\n`);
 }
 
 const sets = process.argv.slice(2).map(readSet);
@@ -93,10 +93,12 @@
 );
 const days = [...new Set(keys.map((key) => key.split(".")[0]))];
 days.forEach((day) => {
-  const own = keys.filter((key) => key.startsWith(`${day}.`));
+  const dayKeys = keys.filter((key) => key.startsWith(`${day}.`));
   const worth = sets.map((set) =>
-    describe(own.map((key) => (set.get(key) as Report).G))
+    describe(dayKeys.map((key) => (set.get(key) as Report).G))
+  );
+  process.stdout.write(
+    `${day}: ${worth.join(" | ")} (${dayKeys.length} plays)\n`,
   );
-  process.stdout.write(`${day}: ${worth.join(" | ")} (${own.length} plays)\n`);
 });
 printTable(sets, keys);
--- a/scripts/mutate.ts
+++ b/scripts/mutate.ts
@@ -1,6 +1,6 @@
 /**
- * Shows that the checks can fail: removes one guard at a time in a copy of the
- * tree and runs the test that must notice. `npm run mutate`.
+ * `npm run mutate`: mutation tests. Applies one mutation at a time to a copy of
+ * the repository and checks that the test of the mutation fails.
  */
 import * as childProcess from "node:child_process";
 import * as fs from "node:fs";
@@ -10,7 +10,7 @@
 
 const ROOT = path.join(import.meta.dirname, "..");
 
-/** Copies the tree; dependencies are linked, our own packages are the copy's. */
+/** Copies the source and links the dependencies; imports of own packages resolve to the copy. */
 function copyTree(): string {
   const copy = fs.mkdtempSync(path.join(os.tmpdir(), "banyangrade-mutate-"));
   ["packages", "platform", "playground", "scripts", "bench"].forEach((folder) =>
@@ -41,7 +41,7 @@
   return copy;
 }
 
-/** Runs a test in the copy; true if it passes. */
+/** Runs a test in the copy; returns whether it passes. */
 function runTest(copy: string, test: string): boolean {
   const ran = childProcess.spawnSync(
     process.execPath,
@@ -51,36 +51,43 @@
   return ran.status === 0;
 }
 
-/** Removes a guard and runs its test; true if the test noticed. */
-function isNoticed(copy: string, mutation: mutations.Mutation): boolean {
+/** Applies a mutation, runs its test and restores the file; returns whether the test failed. */
+function isDetected(copy: string, mutation: mutations.Mutation): boolean {
   const file = path.join(copy, mutation.file);
   const text = fs.readFileSync(file, "utf8");
   if (!text.includes(mutation.find)) {
-    throw new Error(`${mutation.name}: ${mutation.file} lacks the guard.`);
+    throw new Error(
+      `${mutation.name}: text to replace not found in ${mutation.file}; update scripts/mutations.ts`,
+    );
   }
-  const once = text.replace(mutation.find, mutation.replace);
+  const mutated = text.replace(mutation.find, mutation.replace);
   const { also } = mutation;
-  fs.writeFileSync(file, also ? once.replace(also.find, also.replace) : once);
+  fs.writeFileSync(
+    file,
+    also ? mutated.replace(also.find, also.replace) : mutated,
+  );
   const passed = runTest(copy, mutation.test);
   fs.writeFileSync(file, text);
   return !passed;
 }
 
 const copy = copyTree();
-const only = process.argv[2];
+const nameFilter = process.argv[2];
 const chosen = mutations.MUTATIONS
-  .filter((mutation) => only === undefined || mutation.name.includes(only));
-// A test that fails anyway would seem to notice everything.
+  .filter((mutation) =>
+    nameFilter === undefined || mutation.name.includes(nameFilter)
+  );
+// A test that fails without a mutation would appear to detect every mutation.
 new Set(chosen.map((mutation) => mutation.test)).forEach((test) => {
-  if (!runTest(copy, test)) throw new Error(`${test} fails as it is.`);
+  if (!runTest(copy, test)) throw new Error(`${test} fails without a mutation`);
 });
 const missed = chosen
   .filter((mutation) => {
-    const noticed = isNoticed(copy, mutation);
+    const detected = isDetected(copy, mutation);
     process.stdout.write(
-      `${noticed ? "noticed" : "MISSED "}  ${mutation.name}\n`,
+      `${detected ? "noticed" : "MISSED "}  ${mutation.name}\n`,
     );
-    return !noticed;
+    return !detected;
   });
 fs.rmSync(copy, { recursive: true, force: true });
 process.stdout.write(`${missed.length} missed\n`);
--- a/scripts/mutations.ts
+++ b/scripts/mutations.ts
@@ -1,13 +1,13 @@
-/** Guards that are removed one at a time, and the test that must notice each. */
+/** The mutations of `npm run mutate`, each with the test that must fail. */
 
-/** One guard and its removal. */
+/** A source change that introduces a fault. */
 export interface Mutation {
   readonly name: string;
   readonly file: string;
   readonly find: string;
   readonly replace: string;
   readonly test: string;
-  /** A second guard that hides the removal of the first. */
+  /** A second replacement, for faults that another check would otherwise mask. */
   readonly also?: { readonly find: string; readonly replace: string };
 }
 
@@ -20,146 +20,148 @@
 const OVERFLOW = "packages/core/overflow_test.ts";
 const ROUTING = "packages/core/routing_test.ts";
 const DISPATCHER = "packages/core/dispatcher_fuzz_test.ts";
-const GIVEN_UP = "packages/service/given_up_test.ts";
-const LEFT = "platform/callers_left_test.ts";
+const ABANDONED = "packages/service/given_up_test.ts";
+const CALLERS_LEFT = "platform/callers_left_test.ts";
 
-/** All removals. */
+/** All mutations. */
 export const MUTATIONS: readonly Mutation[] = [
   {
-    name: "tickets: a use is not recorded",
+    name: "tickets: the use of a ticket is not recorded",
     file: "packages/core/operations.ts",
     find: `this.#states.set(ticket, { kind: "running", ...by });`,
     replace: "",
     test: TICKETS,
   },
   {
-    name: "tickets: what may have run may be used again",
+    name:
+      "tickets: a ticket can be used again although its operation may have run",
     file: "packages/banyangrade/operation_guard.ts",
     find: `ended.kind === "refused" && ended.refusal.ran === "no"`,
     replace: `ended.kind === "refused"`,
     test: TICKETS,
   },
   {
-    name: "tickets: of an issuer that is gone, not run",
+    name: "tickets: an unreachable issuer is reported as not run",
     file: "packages/banyangrade/operation_guard.ts",
     find: `code: "conflict",\n    ran: "unknown",\n    waitMs: 2_000,`,
     replace: `code: "conflict",\n    ran: "no",\n    waitMs: 2_000,`,
     test: TICKETS,
   },
   {
-    name: "tickets: a forgotten one has not run",
+    name: "tickets: a forgotten ticket is reported as not run",
     file: "packages/banyangrade/operation_guard.ts",
     find: `ran: "unknown",\n          message: "The ticket is forgotten."`,
     replace: `ran: "no",\n          message: "The ticket is forgotten."`,
     test: TICKETS,
   },
   {
-    name: "overflow: an old grant of another failure domain is used",
+    name: "overflow: an expired grant of another failure domain is used",
     file: "packages/core/server_state.ts",
     find: "now - pool.grantedAt <= constants.GRANT_VALID_MS",
     replace: "true",
     test: DISPATCHER,
   },
   {
-    name: "overflow: a suspect is sent to other failure domains",
+    name: "overflow: a suspect request is sent to other failure domains",
     file: "packages/core/dispatching.ts",
     find: "overflow: !queued.suspect &&",
     replace: "overflow: true &&",
     test: DISPATCHER,
   },
   {
-    name: "overflow: visitors are served as the failure domain's own",
+    name: "overflow: hosts of other failure domains get slots like local hosts",
     file: "packages/core/allocation.ts",
     find: "divideEvenly(own.filter((one) => !one.remote), left)",
     replace: "divideEvenly(own, left)",
     test: OVERFLOW,
   },
   {
-    name: "overflow: a host waits for failure domains that have nothing",
+    name:
+      "overflow: a request waits for failure domains whose last grant fell short",
     file: "packages/core/overflow.ts",
     find: "return !isGrantKnown || !pool.short",
     replace: "return true || !pool.short",
     test: OVERFLOW,
   },
   {
-    name: "routing: hosts prefer no servers of their own",
+    name: "routing: hosts have no preferred servers",
     file: "packages/core/partition.ts",
     find: "const position = hosts.toSorted().indexOf(host);",
     replace: "const position = hosts.length > 1 ? -1 : 0;",
     test: ROUTING,
   },
   {
-    name: "routing: what other hosts run is not counted",
+    name: "routing: requests that other hosts run are not counted",
     file: "packages/core/server_state.ts",
     find: "return server.running + elsewhere.running;",
     replace: "return server.running;",
     test: ROUTING,
   },
   {
-    name: "routing: speed is learned from whole answers only",
+    name: "routing: server speed is measured from complete responses only",
     file: "packages/core/constants.ts",
     find: "SPEED_SAMPLE_TOKENS = 8",
     replace: "SPEED_SAMPLE_TOKENS = 10_000",
     test: ROUTING,
   },
   {
-    name: "routing: long prompts go beside any stream",
+    name: "routing: long prompts ignore the streams that they delay",
     file: "packages/core/constants.ts",
     find: "DELAYED_STREAM_WEIGHT = 0.3",
     replace: "DELAYED_STREAM_WEIGHT = 0",
     test: ROUTING,
   },
   {
-    name: "caller: an early answer closes with bytes unread",
+    name: "caller: an early response closes the connection with unread bytes",
     file: "packages/caller/body.ts",
     find: "  request.resume();",
     replace: "  request.destroy();",
     test: CALLER,
   },
   {
-    name: "caller: bodies of all callers together are unbounded",
+    name: "caller: the total size of buffered request bodies is unlimited",
     file: "packages/caller/body.ts",
     find: "budget.used + length > budget.limit",
     replace: "false",
     test: CALLER,
   },
   {
-    name: "retry: what may have run is tried again",
+    name: "retry: a non-idempotent request that may have run is retried",
     file: "packages/core/retry.ts",
     find: `const safe = ran === "no" || failed.repeatable;`,
     replace: "const safe = true || failed.repeatable;",
     test: DISPATCHER,
   },
   {
-    name: "retry: a lost connection counts as not run",
+    name: "retry: a timed-out attempt counts as not run",
     file: "packages/core/retry.ts",
     find: `    case "not_sent":\n    case "refused":`,
     replace: `    case "not_sent":\n    case "refused":\n    case "timeout":`,
     test: DISPATCHER,
   },
   {
-    name: "retry: earlier attempts are forgotten in a refusal",
+    name: "retry: a refusal ignores whether earlier attempts may have run",
     file: "packages/core/retry.ts",
     find: `return first === "no" && second === "no" ? "no" : "unknown";`,
     replace: "return second;",
     test: DISPATCHER,
   },
   {
-    name: "servers: a leaving server gets work",
+    name: "servers: a leaving server gets new requests",
     file: "packages/core/server_state.ts",
     find: `return server.info.state === "live" &&`,
     replace: "return true &&",
     test: DISPATCHER,
   },
   {
-    name: "router: grants are ignored",
+    name: "router: slot grants are ignored",
     file: "packages/core/router.ts",
     find: "serverState.isWithinGrant(pool, { className, now }) ||",
     replace: "pool.running >= 0 ||",
     test: DISPATCHER,
   },
   {
-    name: "preemption: work that may not be repeated is preempted",
+    name: "preemption: a non-idempotent request is preempted",
     file: "packages/core/preemption.ts",
     find: ".filter((attempt) => attempt.request.repeatable)",
     replace: "",
@@ -174,14 +176,14 @@
     test: "packages/core/dispatcher_test.ts",
   },
   {
-    name: "dispatcher: a higher tier is shed while lower work runs",
+    name: "dispatcher: a higher tier is shed while a lower tier runs",
     file: "packages/core/admission_control.ts",
     find: "if (!isFull && hasPreemptibleWork(state, { request, pools })) {",
     replace: "if (!isFull && pools.length < 0) {",
     test: DISPATCHER,
   },
   {
-    name: "dispatcher: a withdrawn key's queue is kept",
+    name: "dispatcher: queued requests of a withdrawn key are kept",
     file: "packages/core/attempt_end.ts",
     find:
       "entry.request.keyId === keyId)\n    .forEach((entry) =>\n      hostState.refuse",
@@ -190,7 +192,7 @@
     test: DISPATCHER,
   },
   {
-    name: "dispatcher: a poison request is tried a third time",
+    name: "dispatcher: a poison request is run a third time",
     file: "packages/core/attempt_end.ts",
     find:
       "if (state.suspects.isPoison(request.fingerprint)) {\n    const poison",
@@ -198,7 +200,7 @@
     test: DISPATCHER,
   },
   {
-    name: "attempts: a late end ends the wrong attempt",
+    name: "attempts: the late end of an old attempt ends the current attempt",
     file: "packages/core/attempts.ts",
     find:
       "if (current === undefined || current.attempt !== id.attempt) {\n      return undefined;",
@@ -214,21 +216,21 @@
     test: DISPATCHER,
   },
   {
-    name: "dispatcher: copies of a suspect run side by side",
+    name: "dispatcher: copies of a suspect request run concurrently",
     file: "packages/core/dispatching.ts",
     find: "if (queued.suspect && state",
     replace: 'if (queued.request.id === "" && state',
     test: DISPATCHER,
   },
   {
-    name: "lease: its end is counted from the answer",
+    name: "lease: expiry is counted from the response instead of the request",
     file: "packages/core/lease.ts",
     find: "expiresAt: won.sentAt + terms",
     replace: "expiresAt: won.wonAt + terms",
     test: ORDERS,
   },
   {
-    name: "lease: a successor does not wait for what is under way",
+    name: "lease: a new holder does not wait for requests in flight",
     file: "packages/core/lease.ts",
     find: "actsFrom: won.wonAt + won.flightMs",
     replace: "actsFrom: won.wonAt",
@@ -251,7 +253,8 @@
     test: USAGE,
   },
   {
-    name: "usage: figures are not fixed before they are sent",
+    name:
+      "usage: figures are sent although another reporter stored different ones",
     file: "packages/usage/reporter.ts",
     find: '  if (swapped.val.kind === "won") {',
     replace: "  if (swapped.val.kind !== undefined) {",
@@ -263,14 +266,14 @@
     test: USAGE,
   },
   {
-    name: "usage: batches behind a gap are counted",
+    name: "usage: batches after a gap are counted",
     file: "packages/core/billing.ts",
     find: "listContiguous(held, this.#counted[source] ?? 0)",
     replace: '[...held.values()].filter(() => source !== "")',
     test: USAGE,
   },
   {
-    name: "config: a lost answer counts as a lost race",
+    name: "config: a commit whose response was lost counts as a conflict",
     file: "packages/store/client.ts",
     find:
       "if (current === undefined || current.value !== swap.value) return swapped;",
@@ -279,28 +282,28 @@
     test: CONFIG,
   },
   {
-    name: "config: a record behind a compaction counts as committed",
+    name: "config: a record that a compaction has passed counts as committed",
     file: "packages/store/config_store.ts",
     find: "if (base === undefined || base.revision < change.revision) {",
     replace: "if (base === undefined || change.revision > 0) {",
     test: CONFIG,
   },
   {
-    name: "claims: whatever failed is released",
+    name: "claims: a claim is released although the operation may have run",
     file: "packages/banyangrade/operation_guard.ts",
     find: 'if (ended.refusal.ran === "no") await',
     replace: "await",
     test: CLAIMS,
   },
   {
-    name: "claims: an unconfirmed claim is refused as not run",
+    name: "claims: an unconfirmed claim is reported as not run",
     file: "packages/banyangrade/operation_guard.ts",
     find: '      ran: "unknown",\n      waitMs: 2_000,\n      step: error.step',
     replace: '      ran: "no",\n      waitMs: 2_000,\n      step: error.step',
     test: CLAIMS,
   },
   {
-    name: "claims: tidying takes back another host's claim",
+    name: "claims: tidying deletes the claim of another host",
     file: "packages/store/claims.ts",
     find:
       'if (found.writerToken !== token || found.state.kind !== "claimed") {',
@@ -308,24 +311,25 @@
     test: CLAIMS,
   },
   {
-    name: "claims: a claim is not bound to the key's absence",
+    name: "claims: a claim is written although the key exists",
     file: "packages/store/sim.ts",
     find: "if (!this.kv.isAt(key, swap.expected) || !leased) {",
     replace: "if (!leased) {",
     test: CLAIMS,
   },
   {
-    name: "given up: connections are closed in order",
+    name: "abandoned requests: connections are closed without a reset",
     file: "packages/utils/resetting_client.ts",
     find: "if (resetting || socket.destroyed || !isInUse()) {",
     replace: "if (socket !== undefined) {",
-    test: GIVEN_UP,
+    test: ABANDONED,
   },
   {
-    name: "callers left: a late host does not read once more",
+    name:
+      "caller disconnects: a delayed host does not read its sockets once more",
     file: "packages/banyangrade/gateway/request_handler.ts",
     find: "await utils.waitForReads();",
     replace: "",
-    test: LEFT,
+    test: CALLERS_LEFT,
   },
 ];
--- a/scripts/mutations_test.ts
+++ b/scripts/mutations_test.ts
@@ -1,4 +1,4 @@
-/** Every guard that `npm run mutate` removes is still where it is looked for. */
+/** Checks that every mutation of `npm run mutate` still applies to the source. */
 import * as fs from "node:fs";
 import * as path from "node:path";
 import * as tap from "tap";
@@ -6,14 +6,15 @@
 
 const ROOT = path.join(import.meta.dirname, "..");
 
-tap.t.test("no removal has lost its guard", (t) => {
-  // A guard moves to another module and its removal is never tried again:
-  // nobody would notice a test that no longer sees it.
-  const lost = mutations.MUTATIONS.filter(({ file, find, also }) => {
+tap.t.test("every mutation finds the text that it replaces", (t) => {
+  // Guards against a mutation that is no longer run because the code was moved or
+  // changed; a test that stops detecting the fault would then go unnoticed.
+  const unmatched = mutations.MUTATIONS.filter(({ file, find, also }) => {
     const text = fs.readFileSync(path.join(ROOT, file), "utf8");
-    const once = text.replace(find, "");
-    return once === text || (also !== undefined && !once.includes(also.find));
+    const mutated = text.replace(find, "");
+    return mutated === text ||
+      (also !== undefined && !mutated.includes(also.find));
   });
-  t.same(lost.map(({ name }) => name), []);
+  t.same(unmatched.map(({ name }) => name), []);
   t.end();
 });
--- a/scripts/play_sites.sh
+++ b/scripts/play_sites.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# Plays the standard days of all sites of regression_sites.txt, or of those whose
-# paths hold a word:
+# Runs all days of the sites listed in regression_sites.txt with play_days.sh:
 #
 #   scripts/play_sites.sh BENCH SYSTEM OUT [WORD]
 #
-# SYSTEM is the users' system folder. Goes on where it stopped, as play_days.sh does.
+# SYSTEM is the users' system folder. WORD selects the sites whose path contains
+# it. Runs whose report exists are skipped, so an interrupted call can be resumed.
 set -uo pipefail
 bench=$1 system=$2 out=$3 word=${4:-}
 here=$(dirname "$0")
--- a/scripts/reference.ts
+++ b/scripts/reference.ts
@@ -1,6 +1,6 @@
 /**
- * Writes the reference of settings and service files from their schemas; with
- * `--check` it fails if the page that is committed differs.
+ * `npm run reference`: generates the reference page of settings and service files
+ * from their schemas. With `--check`, fails if the committed page differs.
  */
 import * as fs from "node:fs";
 import * as path from "node:path";
@@ -11,7 +11,7 @@
 
 const PAGE = path.join(import.meta.dirname, "../docs/operators/reference.md");
 
-/** The part of JSON Schema that is read. */
+/** The subset of JSON Schema that the page uses. */
 interface Schema {
   readonly type?: string;
   readonly description?: string;
@@ -24,18 +24,20 @@
 
 function listRows(schema: Schema, prefix: string): string[] {
   return Object.entries(schema.properties ?? {}).flatMap(([name, option]) => {
-    const full = prefix === "" ? name : `${prefix}.${name}`;
+    const fullName = prefix === "" ? name : `${prefix}.${name}`;
     const nested = option.properties === undefined
       ? option.items?.properties === undefined ? undefined : option.items
       : option;
-    if (nested !== undefined) return listRows(nested, full);
+    if (nested !== undefined) return listRows(nested, fullName);
     const required = schema.required?.includes(name) === true;
-    const fallback = option.default === undefined
+    const defaultText = option.default === undefined
       ? required ? "required" : "none"
       : `\`${JSON.stringify(option.default)}\``;
     const type = option.enum?.join(", ") ?? option.type ?? "";
     return [
-      `| \`${full}\` | ${type} | ${fallback} | ${option.description ?? ""} |`,
+      `| \`${fullName}\` | ${type} | ${defaultText} | ${
+        option.description ?? ""
+      } |`,
     ];
   });
 }
@@ -65,7 +67,7 @@
 if (process.argv[2] === "--check") {
   if (fs.readFileSync(PAGE, "utf8") !== page) {
     process.stderr.write(
-      "docs/operators/reference.md is old: npm run reference\n",
+      "docs/operators/reference.md is out of date; run npm run reference\n",
     );
     process.exitCode = 1;
   }
