--- a/bench/autoscaling.ts
+++ b/bench/autoscaling.ts
@@ -81,7 +81,10 @@
   );
 }
 
-/** Lists the servers of a pool that run or are starting, without the leaving ones. */
+/**
+ * Lists the servers of a pool that run or are starting, without the leaving
+ * ones.
+ */
 function listOrdered(
   backend: backendModule.Backend,
   pool: core.PoolPart,
--- a/bench/backend.ts
+++ b/bench/backend.ts
@@ -86,7 +86,10 @@
     );
   }
 
-  /** Lists the attempts that run on the servers of a failure domain that serve a target. */
+  /**
+   * Lists the attempts that run on the servers of a failure domain that serve a
+   * target.
+   */
   listTasks(
     failureDomain: string,
     target: string,
@@ -148,7 +151,10 @@
     host.locations.delete(requestId);
   }
 
-  /** Crashes a server with all its attempts; restarts it after `downMs`, if finite. */
+  /**
+   * Crashes a server with all its attempts; restarts it after `downMs`, if
+   * finite.
+   */
   crash(server: Server, downMs: number): void {
     if (!server.alive) return;
     server.alive = false;
--- a/bench/cases.ts
+++ b/bench/cases.ts
@@ -1,7 +1,11 @@
-/** The cases that the benchmark runs: disturbances of the load and the servers. */
+/**
+ * The cases that the benchmark runs: disturbances of the load and the servers.
+ */
 import type * as scenarios from "./scenario.ts";
 
-/** Length of a run, in virtual ms; the start and the end of it are not counted. */
+/**
+ * Length of a run, in virtual ms; the start and the end of it are not counted.
+ */
 export const RUN_MS = 125_000;
 
 /** Start of the disturbances, in virtual ms. */
--- a/bench/control.ts
+++ b/bench/control.ts
@@ -32,7 +32,10 @@
   readonly memory: number;
 }
 
-/** Reads the processor time in s, the bytes read and written, and the resident memory in MB of a process. */
+/**
+ * Reads the processor time in s, the bytes read and written, and the resident
+ * memory in MB of a process.
+ */
 function readSample(pid: number): Sample {
   const read = (name: string) =>
     fs.readFileSync(`/proc/${pid}/${name}`, "utf8");
@@ -123,7 +126,10 @@
   return performance.now() - startedAt;
 }
 
-/** Kills the host that reports usage; returns the time until another host holds the role, in ms. */
+/**
+ * Kills the host that reports usage; returns the time until another host holds
+ * the role, in ms.
+ */
 async function measureTakeover(
   cluster: clusterModule.Cluster,
 ): Promise<number> {
--- a/bench/decisions.ts
+++ b/bench/decisions.ts
@@ -1,4 +1,7 @@
-/** `npm run decisions`: measures the time per dispatch decision by number of servers, customers and load. */
+/**
+ * `npm run decisions`: measures the time per dispatch decision by number of
+ * servers, customers and load.
+ */
 import * as core from "@banyangrade/core";
 import * as utils from "@banyangrade/utils";
 import * as table from "../packages/banyangrade/table.ts";
@@ -41,11 +44,16 @@
   }).unwrap();
 }
 
-/** Returns the mean time to handle the arrival and the end of a request, in microseconds. */
+/**
+ * Returns the mean time to handle the arrival and the end of a request, in
+ * microseconds.
+ */
 function measureDecisions(options: {
   readonly servers: number;
   readonly customers: number;
-  /** Number of open requests per slot; above 1, the excess requests are queued. */
+  /**
+   * Number of open requests per slot; above 1, the excess requests are queued.
+   */
   readonly load: number;
 }): number {
   const random = utils.createRandom(7);
--- a/bench/disturbances.ts
+++ b/bench/disturbances.ts
@@ -1,4 +1,7 @@
-/** Schedules the disturbances of a run that affect servers or send extra requests. */
+/**
+ * Schedules the disturbances of a run that affect servers or send extra
+ * requests.
+ */
 import type * as backendModule from "./backend.ts";
 import type * as scenarios from "./scenario.ts";
 import type * as timelineModule from "./timeline.ts";
@@ -94,7 +97,10 @@
   timeline.after(restoredAt - at, () => setState("live"));
 }
 
-/** Sends the same poison request every two seconds, each to a randomly chosen host. */
+/**
+ * Sends the same poison request every two seconds, each to a randomly chosen
+ * host.
+ */
 function sendPoison({ scenario, timeline, arrive }: DisturbanceOptions): void {
   const load = scenario.loads.find((one) =>
     one.kind === "generate"
--- a/bench/figure_recorder.ts
+++ b/bench/figure_recorder.ts
@@ -4,16 +4,27 @@
 
 /** Requests that arrive before this virtual time are not counted, in ms. */
 const WARM_UP_MS = 10_000;
-/** Requests that arrive after this virtual time may not end in the run and are not counted, in ms. */
+/**
+ * Requests that arrive after this virtual time may not end in the run and are
+ * not counted, in ms.
+ */
 const COUNT_UNTIL_MS = 110_000;
 /** Interval of the points of the curve, in ms. */
 const CURVE_POINT_MS = 2_000;
-/** A customer with more than this multiple of the median request count is greedy. */
+/**
+ * A customer with more than this multiple of the median request count is
+ * greedy.
+ */
 const GREEDY_FACTOR = 5;
-/** Customers with fewer requests are ignored, as their attainment is mostly noise. */
+/**
+ * Customers with fewer requests are ignored, as their attainment is mostly
+ * noise.
+ */
 const MIN_CUSTOMER_REQUESTS = 20;
 
-/** Why a request missed its target: late first token, slow tokens or a refusal. */
+/**
+ * Why a request missed its target: late first token, slow tokens or a refusal.
+ */
 export type MissReason = "late" | "slow" | "refused";
 
 const NO_MISSES: Record<MissReason, number> = { late: 0, slow: 0, refused: 0 };
@@ -31,11 +42,16 @@
   readonly className: string;
   readonly tier: number;
   readonly arrived: number;
-  /** Share of the requests that met their target; refused requests count as missed. */
+  /**
+   * Share of the requests that met their target; refused requests count as
+   * missed.
+   */
   readonly attainment: number;
   /** Share of the requests that missed their target, by reason. */
   readonly misses: Readonly<Record<MissReason, number>>;
-  /** Lowest attainment of a customer that is not greedy, relative to the median. */
+  /**
+   * Lowest attainment of a customer that is not greedy, relative to the median.
+   */
   readonly worstCustomer: number;
 }
 
@@ -57,7 +73,10 @@
   readonly messagesPerSecond: number;
   /** Cost of a million tokens of complete responses. */
   readonly costPerMillion: number;
-  /** Share of the tokens of complete responses that the finishing attempt generated on spot servers. */
+  /**
+   * Share of the tokens of complete responses that the finishing attempt
+   * generated on spot servers.
+   */
   readonly spotShare: number;
   /** Number of requests that met their target in each 2 s. */
   readonly curve: readonly number[];
@@ -68,7 +87,10 @@
   messages = 0;
   /** Cost of all engines so far. */
   cost = 0;
-  /** Tokens of complete responses that the finishing attempt generated on spot servers. */
+  /**
+   * Tokens of complete responses that the finishing attempt generated on spot
+   * servers.
+   */
   spotTokens = 0;
   readonly poisoned = new Set<string>();
   readonly #loads: ReadonlyMap<string, scenarios.ClassLoad>;
--- a/bench/load_source.ts
+++ b/bench/load_source.ts
@@ -1,4 +1,6 @@
-/** Generates the load of a run: arrival times, customers and response lengths. */
+/**
+ * Generates the load of a run: arrival times, customers and response lengths.
+ */
 import type * as core from "@banyangrade/core";
 import * as utils from "@banyangrade/utils";
 import type * as scenarios from "./scenario.ts";
@@ -25,7 +27,10 @@
   readonly seed: number;
 }
 
-/** Draws the load from a separate random stream, so that all policies get the same load. */
+/**
+ * Draws the load from a separate random stream, so that all policies get the
+ * same load.
+ */
 export class LoadSource {
   readonly #options: LoadSourceOptions;
   readonly #random: utils.Random;
@@ -116,7 +121,10 @@
       (1 - periodicLoad.lowestShare) * (1 - Math.cos(phase)) / 2;
   }
 
-  /** Returns the share of each customer; a greedy customer exceeds its share by a factor. */
+  /**
+   * Returns the share of each customer; a greedy customer exceeds its share by
+   * a factor.
+   */
   #getShares(
     load: scenarios.ClassLoad,
     now: number,
--- a/bench/scenario.ts
+++ b/bench/scenario.ts
@@ -31,7 +31,10 @@
   readonly serviceMs: number;
 }
 
-/** A disturbance of the load or the servers; times are virtual ms from the start. */
+/**
+ * A disturbance of the load or the servers; times are virtual ms from the
+ * start.
+ */
 export type Disturbance =
   | { readonly kind: "burst"; readonly from: number; readonly to: number }
   | {
@@ -57,7 +60,10 @@
   }
   | { readonly kind: "no_reports"; readonly from: number; readonly to: number }
   | { readonly kind: "poison"; readonly at: number }
-  /** Load that rises and falls between `lowestShare` times the full rate and the full rate. */
+  /**
+   * Load that rises and falls between `lowestShare` times the full rate and the
+   * full rate.
+   */
   | {
     readonly kind: "periodic_load";
     readonly periodMs: number;
--- a/bench/simulation.ts
+++ b/bench/simulation.ts
@@ -23,9 +23,15 @@
 const REPORT_DELAY_MS = 500;
 /** Delay of one message between hosts, in ms. */
 const MESSAGE_DELAY_MS = 0.5;
-/** Number of messages from a host through two relays to a host of another failure domain. */
+/**
+ * Number of messages from a host through two relays to a host of another
+ * failure domain.
+ */
 const RELAY_HOPS = 3;
-/** Number of messages from a host to the capacity leader of another failure domain. */
+/**
+ * Number of messages from a host to the capacity leader of another failure
+ * domain.
+ */
 const LEADER_HOPS = 2;
 /**
  * Requests that arrive in this last part of a run are not counted, as they may
@@ -256,7 +262,9 @@
     this.#timeline.after(DEMAND_INTERVAL_MS, () => this.#runDemandRound(host));
   }
 
-  /** Sends an urgent demand, at most one per host in 50 ms, as a real host does. */
+  /**
+   * Sends an urgent demand, at most one per host in 50 ms, as a real host does.
+   */
   #sendUrgentDemand(host: Host): void {
     if (this.#recentUrgentDemands.has(host.name)) return;
     this.#recentUrgentDemands.add(host.name);
--- a/bench/simulation_test.ts
+++ b/bench/simulation_test.ts
@@ -1,4 +1,6 @@
-/** A short benchmark run that checks the minimum guarantees of the dispatcher. */
+/**
+ * A short benchmark run that checks the minimum guarantees of the dispatcher.
+ */
 import * as tap from "tap";
 import * as deployments from "./deployments.ts";
 import type * as figureRecorder from "./figure_recorder.ts";
--- a/bench/suite.ts
+++ b/bench/suite.ts
@@ -1,4 +1,6 @@
-/** One suite of the benchmark: the cases of a scenario, or its autoscaling runs. */
+/**
+ * One suite of the benchmark: the cases of a scenario, or its autoscaling runs.
+ */
 import * as fs from "node:fs";
 import * as path from "node:path";
 import * as table from "../packages/banyangrade/table.ts";
@@ -16,7 +18,10 @@
 /** Period of the load in an autoscaling run, in virtual ms. */
 const LOAD_PERIOD_MS = 300_000;
 
-/** Fleets, and the number of failure domains whose spot servers are reclaimed at once. */
+/**
+ * Fleets, and the number of failure domains whose spot servers are reclaimed at
+ * once.
+ */
 const AUTOSCALING_RUNS = [
   { fleet: "mixed", domains: 1 },
   { fleet: "mixed", domains: 9 },
@@ -28,12 +33,12 @@
 
 function runCase(
   scenario: scenarios.Scenario,
-  one: scenarios.Case,
+  testCase: scenarios.Case,
   options: { readonly policy: PolicyName },
 ): figureRecorder.RunFigures {
   const run = new simulation.Simulation({
     scenario,
-    disturbances: one.disturbances,
+    disturbances: testCase.disturbances,
     policy: options.policy,
     seed: SEED,
     runMs: cases.RUN_MS,
@@ -81,7 +86,10 @@
   return recoveredAt < 0 ? "not" : `${(recoveredAt - end) * pointMs / 1_000} s`;
 }
 
-/** Runs the cases of a scenario under both policies; returns the tables and curves. */
+/**
+ * Runs the cases of a scenario under both policies; returns the tables and
+ * curves.
+ */
 function runScenario(
   scenario: scenarios.Scenario,
   caseFilter: string | undefined,
@@ -117,7 +125,9 @@
   return { text, curves };
 }
 
-/** Formats the reasons for missed targets, in % of the requests that arrived. */
+/**
+ * Formats the reasons for missed targets, in % of the requests that arrived.
+ */
 function formatMisses(
   scenario: scenarios.Scenario,
   runs: readonly (readonly [string, figureRecorder.RunFigures])[],
--- a/bench/timeline.ts
+++ b/bench/timeline.ts
@@ -7,7 +7,10 @@
   readonly run: () => void;
 }
 
-/** Runs scheduled callbacks by time; callbacks of the same time run in scheduling order. */
+/**
+ * Runs scheduled callbacks by time; callbacks of the same time run in
+ * scheduling order.
+ */
 export class Timeline {
   readonly #queue = new tinyqueue.default<Timed>(
     [],
--- a/playground/cluster.ts
+++ b/playground/cluster.ts
@@ -35,9 +35,15 @@
   readonly windowSeconds?: number;
   readonly leaseSeconds?: number;
   readonly offlineSeconds?: number;
-  /** Whether hosts reach each other through forwarders that can be disconnected. @default false */
+  /**
+   * Whether hosts reach each other through forwarders that can be disconnected.
+   * @default false
+   */
   readonly cuttable?: boolean;
-  /** Log level of the hosts, each of which logs to its own file. @default "info" */
+  /**
+   * Log level of the hosts, each of which logs to its own file.
+   * @default "info"
+   */
   readonly logLevel?: string;
 }
 
@@ -57,14 +63,20 @@
   readonly folder: string;
   readonly operatorFile: string;
   readonly store: storeFake.FakeStore;
-  /** URL of the store for each failure domain; each can be disconnected separately. */
+  /**
+   * URL of the store for each failure domain; each can be disconnected
+   * separately.
+   */
   readonly storeWays: ReadonlyMap<string, string>;
   readonly fleet: fleetFake.FakeFleet;
   readonly usage: usageFake.FakeUsage;
   readonly engines: readonly engineFake.FakeEngine[];
   readonly services: readonly serviceFake.FakeService[];
   readonly hosts: HostProcess[];
-  /** The forwarder in front of the peer port of each host; empty unless the option is set. */
+  /**
+   * The forwarder in front of the peer port of each host; empty if hosts
+   * connect directly.
+   */
   readonly peerWays: readonly forwarder.Forwarder[];
   /** Starts a new process for a host with the same name and addresses. */
   readonly restartHost: (index: number) => Promise<void>;
--- a/playground/demo.ts
+++ b/playground/demo.ts
@@ -1,4 +1,7 @@
-/** `npm run demo`: starts three hosts with fake backend servers on the loopback interface. */
+/**
+ * `npm run demo`: starts three hosts with fake backend servers on the loopback
+ * interface.
+ */
 import * as path from "node:path";
 import * as clusterModule from "./cluster.ts";
 
--- a/playground/forwarder.ts
+++ b/playground/forwarder.ts
@@ -1,10 +1,15 @@
-/** A TCP forwarder between hosts, with which tests simulate a network partition. */
+/**
+ * A TCP forwarder between hosts, with which tests simulate a network partition.
+ */
 import * as net from "node:net";
 
 /** A TCP forwarder to one port. */
 export interface Forwarder {
   readonly port: number;
-  /** With true, closes all connections and rejects new ones; with false, accepts them again. */
+  /**
+   * With true, closes all connections and rejects new ones; with false, accepts
+   * them again.
+   */
   readonly setCut: (cut: boolean) => void;
   readonly close: () => Promise<void>;
 }
--- a/scripts/build.ts
+++ b/scripts/build.ts
@@ -55,7 +55,10 @@
 /** The text of a bundle and its inputs. */
 export interface Bundled {
   readonly text: string;
-  /** Input files that contribute to the bundle, relative to the working directory. */
+  /**
+   * Input files that contribute to the bundle, relative to the working
+   * directory.
+   */
   readonly files: readonly string[];
 }
 
--- a/scripts/check_style.ts
+++ b/scripts/check_style.ts
@@ -1,11 +1,17 @@
-/** Checks the rules of the code style that the formatter and the linter do not cover. */
+/**
+ * Checks the rules of the code style that the formatter and the linter do not
+ * cover.
+ */
 import * as fs from "node:fs";
 import * as path from "node:path";
 import * as ts from "typescript";
 
 const ROOT = path.join(import.meta.dirname, "..");
 
-/** Verbs with which names of functions begin; docs/STYLE.md explains each of them. */
+/**
+ * Verbs with which names of functions begin; docs/STYLE.md explains each of
+ * them.
+ */
 const VERBS: ReadonlySet<string> = new Set(
   ("abandon accept acknowledge acquire add admit advance allocate allow answer " +
     "add after append apply arrive ask assert await begin build bundle call cancel carry check choose claim " +
@@ -57,7 +63,9 @@
     .map((name) => path.join(ROOT, folder, name));
 }
 
-/** Names of the users' platform, which only the adapter in platform/ may use. */
+/**
+ * Names of the users' platform, which only the adapter in platform/ may use.
+ */
 const PLATFORM_NAMES =
   /banyangrade-(attempt-id|deadline-ms|server-stamp|duty-holder|fencing-token|expected-instance|not-executed)|\bkv-(txn|watch|range|lease|key|keep)\b|\bop\/config\b/i;
 
--- a/scripts/compare_reports.ts
+++ b/scripts/compare_reports.ts
@@ -1,7 +1,7 @@
 /**
- * Compares sets of run reports that `scripts/play_days.sh` wrote: prints mean and
- * standard deviation of the score, its parts and its penalties for each set, and
- * the difference between the first two sets over the runs that all sets contain.
+ * Compares sets of run reports that `scripts/play_days.sh` wrote, over the runs that
+ * all sets contain: prints mean and standard deviation of the total worth, its parts
+ * and the prices in the reports, and the difference between the first two sets.
  */
 import * as fs from "node:fs";
 import * as path from "node:path";
@@ -21,7 +21,9 @@
   readonly missed: readonly string[];
 }
 
-/** Penalties below this value in all runs are left out of the table. */
+/**
+ * Prices whose worth is below this value in all runs are left out of the table.
+ */
 const MIN_PRICE = 0.001;
 
 type ReportSet = ReadonlyMap<string, Report>;
--- a/scripts/mutate.ts
+++ b/scripts/mutate.ts
@@ -10,7 +10,10 @@
 
 const ROOT = path.join(import.meta.dirname, "..");
 
-/** Copies the source and links the dependencies; imports of own packages resolve to the copy. */
+/**
+ * Copies the source and links the dependencies; imports of own packages resolve
+ * to the copy.
+ */
 function copyTree(): string {
   const copy = fs.mkdtempSync(path.join(os.tmpdir(), "banyangrade-mutate-"));
   ["packages", "platform", "playground", "scripts", "bench"].forEach((folder) =>
@@ -51,7 +54,10 @@
   return ran.status === 0;
 }
 
-/** Applies a mutation, runs its test and restores the file; returns whether the test failed. */
+/**
+ * Applies a mutation, runs its test and restores the file; returns whether the
+ * test failed.
+ */
 function isDetected(copy: string, mutation: mutations.Mutation): boolean {
   const file = path.join(copy, mutation.file);
   const text = fs.readFileSync(file, "utf8");
--- a/scripts/mutations.ts
+++ b/scripts/mutations.ts
@@ -7,7 +7,9 @@
   readonly find: string;
   readonly replace: string;
   readonly test: string;
-  /** A second replacement, for faults that another check would otherwise mask. */
+  /**
+   * A second replacement, for faults that another check would otherwise mask.
+   */
   readonly also?: { readonly find: string; readonly replace: string };
 }
 
--- a/scripts/mutations_test.ts
+++ b/scripts/mutations_test.ts
@@ -1,4 +1,6 @@
-/** Checks that every mutation of `npm run mutate` still applies to the source. */
+/**
+ * Checks that every mutation of `npm run mutate` still applies to the source.
+ */
 import * as fs from "node:fs";
 import * as path from "node:path";
 import * as tap from "tap";
