--- a/packages/banyangrade/dispatch_task.ts
+++ b/packages/banyangrade/dispatch_task.ts
@@ -120,7 +120,7 @@
   }
 
   /** Counts this host's prompt tokens for which prefill is pending at each engine. */
-  countPrompting(): Record<string, number> {
+  countPendingPrefill(): Record<string, number> {
     return this.#options.dispatcher.countPendingPrefill();
   }
 
--- a/packages/banyangrade/gateway/host_updates.ts
+++ b/packages/banyangrade/gateway/host_updates.ts
@@ -20,7 +20,7 @@
     at: clocks.getTrueTime(),
     demand: dispatch.countByTarget(),
     running: dispatch.countByEngine(),
-    prompting: dispatch.countPrompting(),
+    prompting: dispatch.countPendingPrefill(),
     usage: counter.list(),
     suspects: marks.list()
       .map(({ fingerprint, server }) => ({ fingerprint, server })),
