--- a/packages/banyangrade/certificates.ts
+++ b/packages/banyangrade/certificates.ts
@@ -27,11 +27,11 @@
     this.#peer = settingsModule.readPeerTls(settings);
   }
 
-  getCaller(): caller.CallerTls | undefined {
+  getCallerTls(): caller.CallerTls | undefined {
     return this.#caller;
   }
 
-  getPeer(): peer.PeerTls | undefined {
+  getPeerTls(): peer.PeerTls | undefined {
     return this.#peer;
   }
 
--- a/packages/banyangrade/certificates_test.ts
+++ b/packages/banyangrade/certificates_test.ts
@@ -105,7 +105,7 @@
       hostname: "127.0.0.1",
       port: 0,
       limits: caller.DEFAULT_LIMITS,
-      tls: files.getCaller(),
+      tls: files.getCallerTls(),
       acceptHead: () => false,
       onRequest: () => undefined,
     });
--- a/packages/banyangrade/commands/drain.ts
+++ b/packages/banyangrade/commands/drain.ts
@@ -1,7 +1,7 @@
 /** `banyangrade drain`: drains one host and waits until it has stopped. */
 import * as utils from "@banyangrade/utils";
 import * as commandLine from "../command_line.ts";
-import * as reach from "../reach.ts";
+import * as operatorConnection from "../operator_connection.ts";
 import * as publish from "./publish.ts";
 
 /** Time limit for the host to stop, in ms. */
@@ -17,13 +17,13 @@
     );
     return commandLine.EXIT.usage;
   }
-  return await reach.withConnection(input.options, drainHost);
+  return await operatorConnection.withConnection(input.options, drainHost);
 }
 
 async function drainHost(
-  connection: reach.OperatorConnection,
+  connection: operatorConnection.OperatorConnection,
 ): Promise<number> {
-  const accepted = await reach.callAnyHost(
+  const accepted = await operatorConnection.callAnyHost(
     connection,
     (client, signal) => client.drain.mutate(undefined, { signal }),
   );
@@ -32,7 +32,7 @@
   const deadline = Date.now() + STOP_TIMEOUT_MS;
   while (Date.now() < deadline) {
     await utils.waitFor(POLL_MS);
-    const response = await reach.callAnyHost(
+    const response = await operatorConnection.callAnyHost(
       connection,
       (client, signal) => client.revision.query(undefined, { signal }),
     );
--- a/packages/banyangrade/commands/explain.ts
+++ b/packages/banyangrade/commands/explain.ts
@@ -3,7 +3,7 @@
 import type * as core from "@banyangrade/core";
 import * as commandLine from "../command_line.ts";
 import * as requestTrace from "../request_trace.ts";
-import * as reach from "../reach.ts";
+import * as operatorConnection from "../operator_connection.ts";
 import type * as statusModule from "../status.ts";
 import * as publish from "./publish.ts";
 
@@ -22,20 +22,23 @@
   if (subject === "request" && typeof log === "string") {
     return explainFromLog(log, name);
   }
-  return await reach.withConnection(input.options, async (connection) => {
-    if (subject === "request") return await explainRequest(connection, name);
-    const response = await reach.callAnyHost(
-      connection,
-      (client, signal) => client.status.query(undefined, { signal }),
-    );
-    if (response.err) return publish.printError(response.val);
-    const status = response.val as statusModule.HostStatus;
-    const lines = subject === "class"
-      ? explainClass(status, name)
-      : explainServer(status, name);
-    process.stdout.write(`${lines.join("\n")}\n`);
-    return commandLine.EXIT.ok;
-  });
+  return await operatorConnection.withConnection(
+    input.options,
+    async (connection) => {
+      if (subject === "request") return await explainRequest(connection, name);
+      const response = await operatorConnection.callAnyHost(
+        connection,
+        (client, signal) => client.status.query(undefined, { signal }),
+      );
+      if (response.err) return publish.printError(response.val);
+      const status = response.val as statusModule.HostStatus;
+      const lines = subject === "class"
+        ? explainClass(status, name)
+        : explainServer(status, name);
+      process.stdout.write(`${lines.join("\n")}\n`);
+      return commandLine.EXIT.ok;
+    },
+  );
 }
 
 /** Prints the trace of a request from a log file, without asking a host. */
@@ -56,11 +59,11 @@
 
 /** Asks each configured host in turn, because only the host that refused a request keeps the refusal. */
 async function explainRequest(
-  connection: reach.OperatorConnection,
+  connection: operatorConnection.OperatorConnection,
   requestId: string,
 ): Promise<number> {
   for (const address of connection.hosts) {
-    const response = await reach.callAnyHost(
+    const response = await operatorConnection.callAnyHost(
       { ...connection, hosts: [address] },
       (client, signal) => client.refusal.query(requestId, { signal }),
     );
--- a/packages/banyangrade/commands/key.ts
+++ b/packages/banyangrade/commands/key.ts
@@ -4,7 +4,7 @@
 import * as store from "@banyangrade/store";
 import * as utils from "@banyangrade/utils";
 import * as commandLine from "../command_line.ts";
-import * as reach from "../reach.ts";
+import * as operatorConnection from "../operator_connection.ts";
 import * as table from "../table.ts";
 import * as publish from "./publish.ts";
 
@@ -13,14 +13,14 @@
 
 /** Runs the command. */
 export async function run(input: commandLine.CommandInput): Promise<number> {
-  return await reach.withConnection(
+  return await operatorConnection.withConnection(
     input.options,
     (connection) => runAction(connection, input),
   );
 }
 
 async function runAction(
-  connection: reach.OperatorConnection,
+  connection: operatorConnection.OperatorConnection,
   input: commandLine.CommandInput,
 ): Promise<number> {
   const [action, name, ...classes] = input.arguments;
@@ -40,7 +40,7 @@
 }
 
 async function createKey(
-  connection: reach.OperatorConnection,
+  connection: operatorConnection.OperatorConnection,
   options: {
     readonly input: commandLine.CommandInput;
     readonly customer: string;
@@ -80,7 +80,7 @@
     : `Key ${part.name} (shown once):\n${secret}`;
   process.stdout.write(`${text}\n`);
   const revision = committed.val.revision;
-  const outdated = await reach.waitUntilInForce(connection, {
+  const outdated = await operatorConnection.waitUntilInForce(connection, {
     revision,
     seconds: IN_FORCE_TIMEOUT_SECONDS,
   });
@@ -95,13 +95,13 @@
  * store makes the withdrawal permanent.
  */
 async function withdrawKey(
-  connection: reach.OperatorConnection,
+  connection: operatorConnection.OperatorConnection,
   { input, name }: {
     readonly input: commandLine.CommandInput;
     readonly name: string;
   },
 ): Promise<number> {
-  const notified = await reach.callAnyHost(
+  const notified = await operatorConnection.callAnyHost(
     connection,
     (client, signal) => client.withdrawKey.mutate(name, { signal }),
   );
@@ -126,7 +126,7 @@
 }
 
 async function listKeys(
-  connection: reach.OperatorConnection,
+  connection: operatorConnection.OperatorConnection,
   input: commandLine.CommandInput,
 ): Promise<number> {
   const read: utils.Result<store.ReadConfiguration, utils.StepError> =
--- a/packages/banyangrade/commands/publish.ts
+++ b/packages/banyangrade/commands/publish.ts
@@ -5,7 +5,7 @@
 import * as store from "@banyangrade/store";
 import * as utils from "@banyangrade/utils";
 import * as commandLine from "../command_line.ts";
-import * as reach from "../reach.ts";
+import * as operatorConnection from "../operator_connection.ts";
 
 /** Default time limit for the revision to be in force at every host, in seconds. */
 const DEFAULT_WAIT_SECONDS = 10;
@@ -25,14 +25,14 @@
     return commandLine.EXIT.usage;
   }
   const parts = collected.val;
-  return await reach.withConnection(
+  return await operatorConnection.withConnection(
     input.options,
     (connection) => publish(connection, { input, parts }),
   );
 }
 
 async function publish(
-  connection: reach.OperatorConnection,
+  connection: operatorConnection.OperatorConnection,
   { input, parts }: {
     readonly input: commandLine.CommandInput;
     readonly parts: readonly core.ConfigPart[];
@@ -69,7 +69,7 @@
 }
 
 async function showDifference(
-  connection: reach.OperatorConnection,
+  connection: operatorConnection.OperatorConnection,
   parts: readonly core.ConfigPart[],
 ): Promise<number> {
   const read = await store.readConfiguration(
@@ -107,10 +107,13 @@
  * const code = await confirmInForce(connection, { revision: 3, seconds: 10 });
  */
 export async function confirmInForce(
-  connection: reach.OperatorConnection,
+  connection: operatorConnection.OperatorConnection,
   options: { readonly revision: number; readonly seconds: number },
 ): Promise<number> {
-  const outdated = await reach.waitUntilInForce(connection, options);
+  const outdated = await operatorConnection.waitUntilInForce(
+    connection,
+    options,
+  );
   if (outdated.err) {
     process.stderr.write(
       "The change is committed, but no host could be asked whether it is in force.\n",
--- a/packages/banyangrade/commands/records.ts
+++ b/packages/banyangrade/commands/records.ts
@@ -3,7 +3,7 @@
 import type * as fleet from "@banyangrade/fleet";
 import * as store from "@banyangrade/store";
 import * as commandLine from "../command_line.ts";
-import * as reach from "../reach.ts";
+import * as operatorConnection from "../operator_connection.ts";
 import * as table from "../table.ts";
 import * as publish from "./publish.ts";
 
@@ -60,24 +60,27 @@
 export async function runCustomers(
   input: commandLine.CommandInput,
 ): Promise<number> {
-  return await reach.withConnection(input.options, async (connection) => {
-    const read = await store.readConfiguration(
-      connection.store,
-      core.EMPTY_CONFIGURATION,
-    );
-    if (read.err) return publish.printError(read.val);
-    const { customers, keys } = read.val.configuration;
-    return printListing(input, {
-      headings: ["customer", "classes", "targets", "keys"],
-      rows: [...customers.values()].map((customer) => [
-        customer.name,
-        customer.classes.join(", "),
-        customer.targets.join(", "),
-        [...keys.values()].filter((key) => key.customer === customer.name)
-          .length,
-      ]),
-    });
-  });
+  return await operatorConnection.withConnection(
+    input.options,
+    async (connection) => {
+      const read = await store.readConfiguration(
+        connection.store,
+        core.EMPTY_CONFIGURATION,
+      );
+      if (read.err) return publish.printError(read.val);
+      const { customers, keys } = read.val.configuration;
+      return printListing(input, {
+        headings: ["customer", "classes", "targets", "keys"],
+        rows: [...customers.values()].map((customer) => [
+          customer.name,
+          customer.classes.join(", "),
+          customer.targets.join(", "),
+          [...keys.values()].filter((key) => key.customer === customer.name)
+            .length,
+        ]),
+      });
+    },
+  );
 }
 
 async function printEntries(
@@ -88,14 +91,17 @@
     readonly toRow: (value: string) => readonly (string | number)[];
   },
 ): Promise<number> {
-  return await reach.withConnection(input.options, async (connection) => {
-    const listed = await connection.store.list(options.prefix);
-    if (listed.err) return publish.printError(listed.val);
-    return printListing(input, {
-      headings: options.headings,
-      rows: listed.val.map((entry) => options.toRow(entry.value)),
-    });
-  });
+  return await operatorConnection.withConnection(
+    input.options,
+    async (connection) => {
+      const listed = await connection.store.list(options.prefix);
+      if (listed.err) return publish.printError(listed.val);
+      return printListing(input, {
+        headings: options.headings,
+        rows: listed.val.map((entry) => options.toRow(entry.value)),
+      });
+    },
+  );
 }
 
 function printListing(
--- a/packages/banyangrade/commands/status.ts
+++ b/packages/banyangrade/commands/status.ts
@@ -1,29 +1,29 @@
 /** `banyangrade status`: shows hosts, revisions, roles, pools and servers. */
 import type * as peer from "@banyangrade/peer";
 import * as commandLine from "../command_line.ts";
-import * as reach from "../reach.ts";
+import * as operatorConnection from "../operator_connection.ts";
 import type * as statusModule from "../status.ts";
 import * as table from "../table.ts";
 import * as publish from "./publish.ts";
 
 /** Runs the command. */
 export async function run(input: commandLine.CommandInput): Promise<number> {
-  return await reach.withConnection(
+  return await operatorConnection.withConnection(
     input.options,
     (connection) => showStatus(connection, input.options.json === true),
   );
 }
 
 async function showStatus(
-  connection: reach.OperatorConnection,
+  connection: operatorConnection.OperatorConnection,
   json: boolean,
 ): Promise<number> {
-  const response = await reach.callAnyHost(
+  const response = await operatorConnection.callAnyHost(
     connection,
     (client, signal) => client.status.query(undefined, { signal }),
   );
   if (response.err) return publish.printError(response.val);
-  const revisions = await reach.callAnyHost(
+  const revisions = await operatorConnection.callAnyHost(
     connection,
     (client, signal) => client.revisions.query("everywhere", { signal }),
   );
--- a/packages/banyangrade/exchange.ts
+++ b/packages/banyangrade/exchange.ts
@@ -196,7 +196,7 @@
 ): void {
   const { request, attempt, server } = effect;
   const requestId = request.id;
-  context.metrics.recordFailure(failed.failure);
+  context.metrics.recordAttemptFailure(failed.failure);
   context.log.warn(
     { requestId, attempt, server: server.name, failure: failed.failure },
     "Attempt failed.",
--- a/packages/banyangrade/gateway/exchange_telemetry.ts
+++ b/packages/banyangrade/gateway/exchange_telemetry.ts
@@ -89,7 +89,7 @@
     },
   ): void {
     this.#attemptSentAt = undefined;
-    this.#options.metrics.recordFailure(failure);
+    this.#options.metrics.recordAttemptFailure(failure);
     this.#options.log.warn({
       requestId: this.#exchange.head.requestId,
       attempt,
@@ -104,7 +104,7 @@
   recordCallerLeft(loopDelayMs: number): void {
     const { clock, metrics } = this.#options;
     const stage = this.#getStage();
-    metrics.recordLeft(stage);
+    metrics.recordCallerLeft(stage);
     this.recordEnd("Caller left.", {
       stage,
       runningMs: this.#attemptSentAt === undefined
--- a/packages/banyangrade/gateway/request_handler.ts
+++ b/packages/banyangrade/gateway/request_handler.ts
@@ -163,7 +163,7 @@
   #recordCallerLeft({ head, route, arrivedAt }: AdmittedRequest): void {
     const { log, metrics, dispatch, clock } = this.#options;
     const stage = "reading";
-    metrics.recordLeft(stage);
+    metrics.recordCallerLeft(stage);
     log.info({
       requestId: head.requestId,
       route: route.name,
--- a/packages/banyangrade/host.ts
+++ b/packages/banyangrade/host.ts
@@ -90,12 +90,12 @@
     peer: await peer.startPeerServer({
       ...split(settings.peer.address),
       secrets: settingsModule.readSecrets(settings),
-      tls: parts.certificates.getPeer(),
+      tls: parts.certificates.getPeerTls(),
       router: peer.buildRouter(buildHandlers(parts)),
     }),
     caller: await caller.startCallerServer({
       ...split(settings.caller.address),
-      tls: parts.certificates.getCaller(),
+      tls: parts.certificates.getCallerTls(),
       limits: {
         ...caller.DEFAULT_LIMITS,
         maxBodyBytes: settings.caller.max_body_bytes,
--- a/packages/banyangrade/host_parts.ts
+++ b/packages/banyangrade/host_parts.ts
@@ -112,7 +112,7 @@
     clients: new peer.PeerClients({
       secret: settingsModule.readSecrets(settings)[0],
       clock,
-      getTls: () => certificates.getPeer(),
+      getTls: () => certificates.getPeerTls(),
     }),
   };
 }
--- a/packages/banyangrade/metrics.ts
+++ b/packages/banyangrade/metrics.ts
@@ -129,11 +129,11 @@
     this.#refusals.inc({ code: refusal.code, ran: refusal.ran });
   }
 
-  recordFailure(failure: string): void {
+  recordAttemptFailure(failure: string): void {
     this.#attemptFailures.inc({ failure });
   }
 
-  recordLeft(stage: string): void {
+  recordCallerLeft(stage: string): void {
     this.#callersLeft.inc({ stage });
   }
 
--- a/scripts/reference.ts
+++ b/scripts/reference.ts
@@ -6,7 +6,7 @@
 import * as path from "node:path";
 import * as z from "zod";
 import * as operator from "@banyangrade/operator";
-import * as reach from "../packages/banyangrade/reach.ts";
+import * as operatorConnection from "../packages/banyangrade/operator_connection.ts";
 import * as settings from "../packages/banyangrade/settings.ts";
 
 const PAGE = path.join(import.meta.dirname, "../docs/operators/reference.md");
@@ -61,7 +61,7 @@
   "",
   renderTable("A host's settings", settings.SETTINGS_SCHEMA),
   renderTable("Service files", operator.SERVICE_FILE_SCHEMA),
-  renderTable("Operator settings", reach.OPERATOR_SCHEMA),
+  renderTable("Operator settings", operatorConnection.OPERATOR_SCHEMA),
 ].join("\n");
 
 if (process.argv[2] === "--check") {
