--- a/packages/banyangrade/caller_request_handler.ts
+++ b/packages/banyangrade/caller_request_handler.ts
@@ -28,7 +28,7 @@
   }
 
   /** Runs an operation that another host forwarded because this host issued its ticket. */
-  runTicket(message: peer.TicketMessage): Promise<peer.TicketAnswer> {
+  runTicket(message: peer.TicketMessage): Promise<peer.TicketResponse> {
     return this.#serviceCalls.runTicket(message);
   }
 
--- a/packages/banyangrade/gateway/cluster_state_task.ts
+++ b/packages/banyangrade/gateway/cluster_state_task.ts
@@ -80,7 +80,7 @@
         clock,
         prefix: platform.operatorPrefix,
         waitMs: CONFIG_POLL_WAIT_MS,
-        getSettleMs: () => BATCH_DELAY_MS,
+        getBatchDelayMs: () => BATCH_DELAY_MS,
         onEvent: (event) => this.#handleConfigEvent(event),
       }),
       store.watchPrefix({
@@ -88,7 +88,7 @@
         clock,
         prefix: platform.serversPrefix,
         waitMs: SERVERS_POLL_WAIT_MS,
-        getSettleMs: () =>
+        getBatchDelayMs: () =>
           Math.min(
             MAX_BATCH_DELAY_MS,
             BATCH_DELAY_MS *
--- a/packages/banyangrade/gateway/host_status_task.ts
+++ b/packages/banyangrade/gateway/host_status_task.ts
@@ -121,7 +121,7 @@
   }
 
   /** Accepts the statuses that a follower reports, its own first, and returns the summary of the other hosts. */
-  acceptStatuses(statuses: readonly core.HostStatus[]): peer.ReportAnswer {
+  acceptStatuses(statuses: readonly core.HostStatus[]): peer.ReportResponse {
     const now = this.#options.clock.now();
     statuses.forEach((status, index) =>
       this.#statuses.record(status, { now, direct: index === 0 })
@@ -174,7 +174,7 @@
   }
 
   /** Reports to the relay; returns undefined if no relay answers. */
-  #reportToRelay(): Promise<peer.ReportAnswer | undefined> {
+  #reportToRelay(): Promise<peer.ReportResponse | undefined> {
     const statuses = [this.#options.describe()];
     return this.#options.relay.callRelay({
       step: "relay.report",
--- a/packages/banyangrade/gateway/relay_task.ts
+++ b/packages/banyangrade/gateway/relay_task.ts
@@ -47,7 +47,7 @@
 /** A call to a relay. */
 export interface RelayCall<Answer> {
   readonly step: string;
-  readonly run: peer.PeerRun<peer.RelayRouter, Answer>;
+  readonly run: peer.PeerCall<peer.RelayRouter, Answer>;
   /** Time for which the relay may hold the call open, in ms. @default 0 */
   readonly waitMs?: number;
 }
@@ -84,17 +84,20 @@
       host,
       incarnation,
       terms: { ttlMs: LEASE_MS, marginMs: LEASE_MARGIN_MS },
-      getPauseMs: () => random.below(LEASE_ATTEMPT_SPREAD_MS),
+      getAttemptDelayMs: () => random.below(LEASE_ATTEMPT_SPREAD_MS),
       // Two relays at a time are harmless, so no time is reserved for calls in flight.
       flightMs: 0,
       contact: { address, secret: this.#secret },
       isCandidate: () => this.#relay === undefined,
-      onOther: (record) => this.#setRelay(record),
+      onOtherHolder: (record) => this.#setRelay(record),
       onChange: () => undefined,
     });
     // A host that finds the relay now reads its initial state from it rather than
     // from the store.
-    await Promise.race([this.#holder.looked, utils.waitFor(INITIAL_LOOKUP_MS)]);
+    await Promise.race([
+      this.#holder.firstLookup,
+      utils.waitFor(INITIAL_LOOKUP_MS),
+    ]);
   }
 
   /** Releases the lease; followers are answered until {@link close}. */
--- a/packages/banyangrade/gateway/relayed_feed.ts
+++ b/packages/banyangrade/gateway/relayed_feed.ts
@@ -69,7 +69,7 @@
 
   async readAll(
     prefix: string,
-  ): Promise<utils.Result<store.Snapshot, utils.StepError>> {
+  ): Promise<utils.Result<store.PrefixSnapshot, utils.StepError>> {
     const { clock, feed, relay } = this.#options;
     const sentAt = clock.now();
     const relayed = await relay.callRelay({
@@ -124,7 +124,7 @@
   /** Answers a follower's call with a snapshot of the whole prefix. */
   answerReadAll(prefix: string): peer.RelayedSnapshot {
     const { cache } = this.#getPrefix(prefix);
-    const ageMs = this.#options.clock.now() - cache.provedAt;
+    const ageMs = this.#options.clock.now() - cache.currentAsOf;
     if (!Number.isFinite(ageMs) || !this.#isFresh()) return { kind: "unready" };
     return { kind: "snapshot", ...cache.read(), ageMs };
   }
@@ -135,7 +135,8 @@
   ): Promise<peer.RelayedChanges> {
     const receivedAt = this.#options.clock.now();
     const { cache } = this.#getPrefix(prefix);
-    const mayAnswer = () => Number.isFinite(cache.provedAt) && this.#isFresh();
+    const mayAnswer = () =>
+      Number.isFinite(cache.currentAsOf) && this.#isFresh();
     const hasChanges = () => (cache.listSince(after)?.changes.length ?? 1) > 0;
     await this.#waitUntil(prefix, {
       isMet: () => !mayAnswer() || hasChanges(),
@@ -150,7 +151,7 @@
     return {
       kind: "changes",
       ...changes,
-      ageMs: receivedAt - cache.provedAt,
+      ageMs: receivedAt - cache.currentAsOf,
     };
   }
 
@@ -192,16 +193,16 @@
 
   /** Returns the time for which that response remains recent, in ms; negative if it is not. */
   #getRemainingFreshMs(): number {
-    const provedAt = Math.max(
-      ...[...this.#prefixes.values()].map(({ cache }) => cache.provedAt),
+    const currentAsOf = Math.max(
+      ...[...this.#prefixes.values()].map(({ cache }) => cache.currentAsOf),
     );
-    return provedAt + MAX_RELAY_AGE_MS - this.#options.clock.now();
+    return currentAsOf + MAX_RELAY_AGE_MS - this.#options.clock.now();
   }
 
   #setAll(
     prefix: string,
     { snapshot, sentAt }: {
-      readonly snapshot: store.Snapshot;
+      readonly snapshot: store.PrefixSnapshot;
       readonly sentAt: number;
     },
   ): void {
@@ -219,7 +220,7 @@
   ): void {
     const { cache, listeners } = this.#getPrefix(prefix);
     // Changes apply only to a copy that has been read in full once.
-    if (!Number.isFinite(cache.provedAt)) return;
+    if (!Number.isFinite(cache.currentAsOf)) return;
     cache.apply(changes, sentAt - (changes.ageMs ?? 0));
     if (changes.changes.length > 0) listeners.forEach((wake) => wake());
   }
--- a/packages/banyangrade/host.ts
+++ b/packages/banyangrade/host.ts
@@ -116,7 +116,7 @@
 
 function buildHandlers(parts: hostParts.HostParts): peer.PeerHandlers {
   return {
-    takeBeat: (beat) => parts.overlay.takeBeat(beat),
+    takeHeartbeat: (beat) => parts.overlay.mergeHeartbeat(beat),
     listMembers: () => parts.overlay.members.listAll(),
     getDelta: (revision) => parts.config.getDelta(revision),
     takeDemand: (message) => parts.capacity.takeDemand(message),
@@ -141,7 +141,7 @@
     utils.startInterval(constants.HOSTS_MS, () => pollHosts(parts)),
     utils.startInterval(
       constants.CLAIM_CLEANUP_MS,
-      () => parts.storeGuard.tidy(),
+      () => parts.storeGuard.releaseStale(),
     ),
   ];
   return () => stops.forEach((stop) => stop());
--- a/packages/banyangrade/host_parts.ts
+++ b/packages/banyangrade/host_parts.ts
@@ -160,9 +160,9 @@
     random: utils.createRandom(utils.hashSeed(draft.host)),
     log: getLog(draft, "peer"),
     getRevision: () => draft.config.get().revision,
-    onAhead: (address) => void draft.config.pull(address),
+    onNewerRevision: (address) => void draft.config.pull(address),
     onMarks: (marks) => dispatch.send({ kind: "suspected", marks }),
-    onCleared: (fingerprints) =>
+    onMarksExpired: (fingerprints) =>
       dispatch.send({ kind: "cleared", fingerprints }),
     onWithdrawn: (keyIds) =>
       keyIds.forEach((keyId) => {
@@ -185,7 +185,7 @@
       removedKeys.forEach((keyId) =>
         dispatch.send({ kind: "key_withdrawn", keyId })
       );
-      overlay.spread();
+      overlay.sendImmediately();
     },
     onConfirmed: (wall) => overlay.confirm(wall),
   });
--- a/packages/banyangrade/keys_test.ts
+++ b/packages/banyangrade/keys_test.ts
@@ -84,7 +84,10 @@
     // Hosts in Weilheim cannot read the withdrawal from the store, but hosts in
     // Rosenheim forward it to them.
     const key = await createKey();
-    cluster.store.setCut(cluster.storeWays.get("weilheim") ?? "", true);
+    cluster.store.setDisconnected(
+      cluster.storeWays.get("weilheim") ?? "",
+      true,
+    );
     t.notOk(await isRefused(cluster.hosts[2], key), "the host still serves");
     const result = await cluster.runCommand(["key", "withdraw", getName(key)]);
     t.equal(result.code, 0, result.output);
@@ -94,7 +97,10 @@
         WITHDRAWAL_TIMEOUT_MS,
       ),
     );
-    cluster.store.setCut(cluster.storeWays.get("weilheim") ?? "", false);
+    cluster.store.setDisconnected(
+      cluster.storeWays.get("weilheim") ?? "",
+      false,
+    );
   });
 });
 
--- a/packages/banyangrade/operation.ts
+++ b/packages/banyangrade/operation.ts
@@ -36,7 +36,9 @@
  * @example
  * return toTicketAnswer(outcome);
  */
-export function toTicketAnswer(outcome: guard.GuardOutcome): peer.TicketAnswer {
+export function toTicketAnswer(
+  outcome: guard.GuardOutcome,
+): peer.TicketResponse {
   switch (outcome.kind) {
     case "whole":
       return {
--- a/packages/banyangrade/operation_guard.ts
+++ b/packages/banyangrade/operation_guard.ts
@@ -21,7 +21,7 @@
 /** Outcome of an operation; "repeated" is the kept answer of an earlier run. */
 export type GuardOutcome =
   | call.CallOutcome
-  | { readonly kind: "repeated"; readonly answer: store.KeptAnswer };
+  | { readonly kind: "repeated"; readonly answer: store.StoredResponse };
 
 /** Runs operations at most once by claims in the store. */
 export class StoreGuard {
@@ -36,8 +36,8 @@
   }
 
   /** Releases claims that could not be released before: the response to the claim was lost, or the release failed. */
-  async tidy(): Promise<void> {
-    await this.#claims.tidy();
+  async releaseStale(): Promise<void> {
+    await this.#claims.releaseStale();
   }
 
   /** Claims an operation, runs it and stores its outcome. */
@@ -84,7 +84,7 @@
 
 function toKeptAnswer(
   ended: Extract<call.CallOutcome, { kind: "whole" }>,
-): store.KeptAnswer {
+): store.StoredResponse {
   const type = ended.answer.headers["content-type"];
   return {
     status: ended.answer.status,
@@ -227,7 +227,7 @@
   async forward(
     origin: core.TicketOrigin,
     message: peer.TicketMessage,
-  ): Promise<peer.TicketAnswer | core.Refusal> {
+  ): Promise<peer.TicketResponse | core.Refusal> {
     const address = this.#options.findAddress(origin.host);
     // A host that restarted under the same name does not know the ticket and refuses it.
     if (address === undefined) return refuseUnreachable(origin);
--- a/packages/banyangrade/operation_guard_fuzz_test.ts
+++ b/packages/banyangrade/operation_guard_fuzz_test.ts
@@ -7,7 +7,7 @@
 import * as tap from "tap";
 import * as core from "@banyangrade/core";
 import * as store from "@banyangrade/store";
-import * as simTesting from "@banyangrade/store/sim_testing.ts";
+import * as simulatedHosts from "@banyangrade/store/simulated_hosts.js";
 import * as utils from "@banyangrade/utils";
 import type * as call from "./call_exchange.ts";
 import * as guard from "./operation_guard.ts";
@@ -20,7 +20,7 @@
 type BackendResult = "whole" | "lost" | "not_run";
 
 type Step =
-  | simTesting.WorldStep
+  | simulatedHosts.WorldStep
   | { readonly kind: "send"; readonly host: number; readonly operation: number }
   | {
     readonly kind: "backend";
@@ -32,7 +32,7 @@
 
 const host = fc.nat({ max: HOSTS - 1 });
 const step: fc.Arbitrary<Step> = fc.oneof(
-  { weight: 10, arbitrary: simTesting.createWorldStep(HOSTS) },
+  { weight: 10, arbitrary: simulatedHosts.createWorldStep(HOSTS) },
   {
     weight: 4,
     arbitrary: fc.record({
@@ -65,7 +65,7 @@
 }
 
 class Harness {
-  readonly world = new simTesting.SimWorld();
+  readonly world = new simulatedHosts.SimWorld();
   readonly guards: guard.StoreGuard[] = [0, 1, 2].map((at) => this.#create(at));
   readonly runningOperations: RunningOperation[] = [];
   readonly ran = new Map<number, number>();
@@ -98,7 +98,7 @@
       case "tidy":
         return await this.world.spawn(
           { name: "tidy", host: next.host },
-          () => this.guards[next.host].tidy(),
+          () => this.guards[next.host].releaseStale(),
         );
       case "crash":
         this.guards[next.host] = this.#create(next.host);
@@ -124,16 +124,16 @@
     this.answered += 1;
     if (outcome.kind === "refused") {
       const { ran: reported } = outcome.refusal;
-      simTesting.assertHolds(
+      simulatedHosts.assertHolds(
         reported !== "no" || ran === 0,
         `"not run", but it ran`,
       );
-      simTesting.assertHolds(
+      simulatedHosts.assertHolds(
         reported !== "yes" || ran === 1,
         `"run", but it did not run`,
       );
     } else if (outcome.kind !== "left") {
-      simTesting.assertHolds(
+      simulatedHosts.assertHolds(
         ran === 1,
         "answer, but no run",
       );
@@ -149,7 +149,7 @@
     if (next.result !== "not_run") {
       const ran = (this.ran.get(ended.operation) ?? 0) + 1;
       this.ran.set(ended.operation, ran);
-      simTesting.assertHolds(ran <= 1, "an operation ran twice");
+      simulatedHosts.assertHolds(ran <= 1, "an operation ran twice");
     }
     ended.end(buildOutcome(next.result));
   }
--- a/packages/banyangrade/service_call_handler.ts
+++ b/packages/banyangrade/service_call_handler.ts
@@ -31,7 +31,7 @@
   }
 
   /** Runs an operation that another host forwarded because this host issued its ticket. */
-  async runTicket(message: peer.TicketMessage): Promise<peer.TicketAnswer> {
+  async runTicket(message: peer.TicketMessage): Promise<peer.TicketResponse> {
     const configuration = this.#options.getConfiguration();
     const part = configuration.classes.get(message.className);
     const authorized = part !== undefined &&
@@ -80,7 +80,7 @@
 
   #sendOutcome(
     { incoming }: authenticatedRequest.AuthenticatedRequest,
-    outcome: guard.GuardOutcome | peer.TicketAnswer,
+    outcome: guard.GuardOutcome | peer.TicketResponse,
   ): void {
     if (!("kind" in outcome)) {
       const body = Buffer.from(outcome.body, "base64");
@@ -111,7 +111,7 @@
   async #runGuarded(
     accepted: authenticatedRequest.AuthenticatedRequest,
     route: Extract<caller.Route, { kind: "call" }>,
-  ): Promise<guard.GuardOutcome | peer.TicketAnswer> {
+  ): Promise<guard.GuardOutcome | peer.TicketResponse> {
     const { incoming, secret, grant, part } = accepted;
     const { requestId } = incoming;
     const operation = {
--- a/packages/banyangrade/ticket_fuzz_test.ts
+++ b/packages/banyangrade/ticket_fuzz_test.ts
@@ -7,7 +7,7 @@
 import * as tap from "tap";
 import * as core from "@banyangrade/core";
 import type * as peer from "@banyangrade/peer";
-import * as simTesting from "@banyangrade/store/sim_testing.ts";
+import * as simulatedHosts from "@banyangrade/store/simulated_hosts.js";
 import * as utils from "@banyangrade/utils";
 import type * as call from "./call_exchange.ts";
 import * as operation from "./operation.ts";
@@ -193,7 +193,7 @@
         this.#guards[next.host] = this.#create(next.host);
     }
     await new Promise((resolve) => setImmediate(resolve));
-    simTesting.assertHolds(this.failure === undefined, this.failure ?? "");
+    simulatedHosts.assertHolds(this.failure === undefined, this.failure ?? "");
   }
 
   async #send(next: Extract<Step, { kind: "send" }>): Promise<void> {
--- a/packages/banyangrade/usage_task.ts
+++ b/packages/banyangrade/usage_task.ts
@@ -56,7 +56,7 @@
   }
 
   /** Adds batches of another host, as the reporter or as a replica. */
-  takeBatches(message: peer.UsageMessage): peer.UsageAnswer {
+  takeBatches(message: peer.UsageMessage): peer.UsageResponse {
     this.#collector.add(message.batches);
     return { counted: this.#collector.getCounted() };
   }
--- a/packages/fleet/orders_fuzz_test.ts
+++ b/packages/fleet/orders_fuzz_test.ts
@@ -3,7 +3,7 @@
 import * as tap from "tap";
 import * as core from "@banyangrade/core";
 import * as store from "@banyangrade/store";
-import * as simTesting from "@banyangrade/store/sim_testing.ts";
+import * as simulatedHosts from "@banyangrade/store/simulated_hosts.js";
 import * as utils from "@banyangrade/utils";
 import * as fleet from "./mod.ts";
 
@@ -13,7 +13,7 @@
 const TERMS = { ttlMs: 8_000, marginMs: 500 };
 
 type Step =
-  | simTesting.WorldStep
+  | simulatedHosts.WorldStep
   | { readonly kind: "lease"; readonly host: number }
   /** Runs one step of lease acquisition with a response to every store call. */
   | { readonly kind: "lead"; readonly host: number }
@@ -31,7 +31,12 @@
 const step: fc.Arbitrary<Step> = fc.oneof(
   {
     weight: 14,
-    arbitrary: simTesting.createWorldStep(HOSTS, [500, 1_300, 2_600, 8_000]),
+    arbitrary: simulatedHosts.createWorldStep(HOSTS, [
+      500,
+      1_300,
+      2_600,
+      8_000,
+    ]),
   },
   {
     weight: 5,
@@ -68,7 +73,7 @@
 }
 
 class Harness {
-  readonly world = new simTesting.SimWorld();
+  readonly world = new simulatedHosts.SimWorld();
   readonly leases: core.LeaseState[] = Array.from(
     { length: HOSTS },
     () => ({ kind: "none" }),
@@ -153,7 +158,7 @@
     );
     // Orders are lost after the maximum delivery time, on which the wait of the next leader relies.
     if (this.world.now - pending.sentAt > fleet.ORDER_FLIGHT_MS) return;
-    simTesting.assertHolds(
+    simulatedHosts.assertHolds(
       pending.order.fencingToken >= this.newestToken,
       "an order of an earlier leader arrived after an order of a later leader",
     );
--- a/packages/peer/client.ts
+++ b/packages/peer/client.ts
@@ -28,7 +28,7 @@
 }
 
 /** Runs a call with the client of a connection. */
-export type PeerRun<Router extends AnyRouter, Answer> = (
+export type PeerCall<Router extends AnyRouter, Answer> = (
   client: trpc.TRPCClient<Router>,
   signal: AbortSignal,
 ) => Promise<Answer>;
@@ -58,7 +58,7 @@
    */
   async call<Answer>(
     to: { readonly address: string; readonly step: string },
-    run: PeerRun<Router, Answer>,
+    run: PeerCall<Router, Answer>,
     timeoutMs = CALL_TIMEOUT_MS,
   ): Promise<utils.Result<Answer, utils.StepError>> {
     const { address: peer, step } = to;
--- a/packages/peer/overlay.ts
+++ b/packages/peer/overlay.ts
@@ -31,10 +31,10 @@
   readonly log: utils.Logger;
   readonly getRevision: () => number;
   /** Called with the address of a host that has a newer configuration revision. */
-  readonly onAhead: (address: string) => void;
+  readonly onNewerRevision: (address: string) => void;
   readonly onMarks: (marks: readonly core.PoisonMark[]) => void;
   /** Called with fingerprints for which all marks have expired. */
-  readonly onCleared: (fingerprints: readonly string[]) => void;
+  readonly onMarksExpired: (fingerprints: readonly string[]) => void;
   readonly onWithdrawn: (keyIds: readonly string[]) => void;
   readonly heartbeatMs?: number;
 }
@@ -112,7 +112,7 @@
 
   setRole(update: protocol.RoleUpdate): void {
     this.#mergeRoles([update]);
-    this.spread();
+    this.sendImmediately();
   }
 
   countMarks(): number {
@@ -121,12 +121,12 @@
 
   addMark(mark: core.PoisonMark): void {
     this.#mergeMarks([mark]);
-    this.spread();
+    this.sendImmediately();
   }
 
   addWithdrawn(keyId: string): void {
     this.#mergeWithdrawn([keyId]);
-    this.spread();
+    this.sendImmediately();
   }
 
   isRelay(): boolean {
@@ -134,7 +134,7 @@
   }
 
   /** Sends heartbeats to all targets immediately, for updates that must not wait for the next interval. */
-  spread(): void {
+  sendImmediately(): void {
     const remote = this.isRelay() ? this.listRemoteContacts() : [];
     void this.#sendHeartbeatsTo([
       ...this.members.listHeartbeatTargets(),
@@ -165,7 +165,7 @@
   }
 
   /** Merges a heartbeat and returns the response, which includes all roles if the sender knows different ones. */
-  takeBeat(heartbeat: protocol.Heartbeat): protocol.Heartbeat {
+  mergeHeartbeat(heartbeat: protocol.Heartbeat): protocol.Heartbeat {
     this.#merge(heartbeat);
     const response = this.#buildHeartbeat();
     return heartbeat.rolesSum === response.rolesSum
@@ -213,7 +213,7 @@
     this.members.tick(this.#options.clock.now());
     this.#options.clients.closeIdle();
     const cleared = this.#marks.removeExpired(this.#options.clock.wall());
-    if (cleared.length > 0) this.#options.onCleared(cleared);
+    if (cleared.length > 0) this.#options.onMarksExpired(cleared);
     await this.#sendHeartbeatsTo(this.#listPeriodicTargets());
   }
 
@@ -302,7 +302,7 @@
     this.confirm(heartbeat.confirmedAt);
     this.#mergeWithdrawn(heartbeat.withdrawn);
     if (heartbeat.revision > this.#options.getRevision()) {
-      this.#options.onAhead(heartbeat.from.address);
+      this.#options.onNewerRevision(heartbeat.from.address);
     }
   }
 
@@ -317,7 +317,7 @@
     );
     if (added.length === 0) return;
     this.#options.onMarks(added);
-    this.spread();
+    this.sendImmediately();
   }
 
   #mergeRoles(roles: readonly protocol.RoleUpdate[]): void {
@@ -334,6 +334,6 @@
     if (added.length === 0) return;
     added.forEach((keyId) => this.#withdrawn.add(keyId));
     this.#options.onWithdrawn(added);
-    this.spread();
+    this.sendImmediately();
   }
 }
--- a/packages/peer/procedures.ts
+++ b/packages/peer/procedures.ts
@@ -23,7 +23,7 @@
  * run the same program.
  *
  * @example
- * procedure.input(accept<Heartbeat>()).mutation(({ input }) => takeBeat(input));
+ * procedure.input(accept<Heartbeat>()).mutation(({ input }) => takeHeartbeat(input));
  */
 export function accept<Message>(): z.ZodType<Message> {
   return z.custom<Message>((value) =>
--- a/packages/peer/protocol.ts
+++ b/packages/peer/protocol.ts
@@ -71,7 +71,7 @@
 }
 
 /** Batches that the usage collector has counted in final windows. */
-export interface UsageAnswer {
+export interface UsageResponse {
   readonly counted: core.SequenceVector;
 }
 
@@ -90,7 +90,7 @@
 }
 
 /** Response to a forwarded ticket operation. */
-export interface TicketAnswer {
+export interface TicketResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[]>>;
   /** Base64. */
@@ -107,7 +107,7 @@
 
 /** Handlers of a host for the messages of other hosts. */
 export interface PeerHandlers {
-  readonly takeBeat: (heartbeat: Heartbeat) => Heartbeat;
+  readonly takeHeartbeat: (heartbeat: Heartbeat) => Heartbeat;
   readonly listMembers: () => readonly core.Member[];
   readonly getDelta: (revision: number) => ConfigDelta;
   readonly takeDemand: (
@@ -116,11 +116,11 @@
   /** Returns one host in each other failure domain. */
   readonly listRemoteContacts: () => readonly Contact[];
   readonly takeGrants: (message: GrantMessage) => void;
-  readonly takeUsage: (message: UsageMessage) => UsageAnswer;
+  readonly takeUsage: (message: UsageMessage) => UsageResponse;
   readonly sumDemand: (
     pools: readonly string[],
   ) => readonly { pool: string; demand: number; upperDemand: number }[];
-  readonly runTicket: (message: TicketMessage) => Promise<TicketAnswer>;
+  readonly runTicket: (message: TicketMessage) => Promise<TicketResponse>;
   readonly getRevision: () => number;
   readonly listRevisions: (
     scope: "domain" | "everywhere",
@@ -141,7 +141,7 @@
 export function buildRouter(handlers: PeerHandlers) {
   return buildProcedures({
     beat: procedure.input(accept<Heartbeat>())
-      .mutation(({ input }) => handlers.takeBeat(input)),
+      .mutation(({ input }) => handlers.takeHeartbeat(input)),
     members: procedure.query(() => handlers.listMembers()),
     delta: procedure.input(z.number().int())
       .query(({ input }) => handlers.getDelta(input)),
--- a/packages/peer/relay_protocol.ts
+++ b/packages/peer/relay_protocol.ts
@@ -16,7 +16,7 @@
 
 /** Response of a relay to a full read of a store prefix. */
 export type RelayedSnapshot =
-  | ({ readonly kind: "snapshot" } & store.Snapshot & {
+  | ({ readonly kind: "snapshot" } & store.PrefixSnapshot & {
     readonly ageMs: number;
   })
   | { readonly kind: "unready" };
@@ -31,7 +31,7 @@
 }
 
 /** Response of a relay to the statuses that a follower reports. */
-export interface ReportAnswer {
+export interface ReportResponse {
   /** Summary of all other hosts. */
   readonly others: core.HostsSummary;
   /** Whether the relay publishes the statuses to the store; if not, the follower publishes its own. */
@@ -43,7 +43,7 @@
   readonly readAll: (prefix: string) => RelayedSnapshot;
   readonly pollChanges: (message: PollMessage) => Promise<RelayedChanges>;
   /** Stores reported statuses; the first one is the caller's own. */
-  readonly report: (statuses: readonly core.HostStatus[]) => ReportAnswer;
+  readonly report: (statuses: readonly core.HostStatus[]) => ReportResponse;
   /** Returns the summary of the relay's followers, for other relays. */
   readonly getSummary: () => core.HostsSummary;
 }
--- a/packages/store/claims.ts
+++ b/packages/store/claims.ts
@@ -14,7 +14,7 @@
 export const MAX_STORED_RESPONSE_BYTES = 16_384;
 
 /** A complete response, stored for retries of its request. */
-export interface KeptAnswer {
+export interface StoredResponse {
   readonly status: number;
   readonly contentType: string;
   readonly body: string;
@@ -24,7 +24,7 @@
 export type ClaimState =
   | { readonly kind: "claimed" }
   /** The operation ran. The response is absent if it was too large to store. */
-  | { readonly kind: "done"; readonly answer?: KeptAnswer };
+  | { readonly kind: "done"; readonly answer?: StoredResponse };
 
 /** A claim as stored. */
 export interface Claim {
@@ -58,7 +58,7 @@
     },
   ) => Promise<utils.Result<ClaimOutcome, utils.StepError>>;
   /** Records that the operation ran, and stores its response unless it is too large. */
-  readonly complete: (own: OwnClaim, answer?: KeptAnswer) => Promise<void>;
+  readonly complete: (own: OwnClaim, answer?: StoredResponse) => Promise<void>;
   /** Deletes the claim. Only allowed if the operation certainly did not run. */
   readonly release: (own: OwnClaim) => Promise<void>;
   /**
@@ -67,7 +67,7 @@
    * failed. Until such a claim expires after a day, its callers are told that the
    * operation may have run.
    */
-  readonly tidy: () => Promise<void>;
+  readonly releaseStale: () => Promise<void>;
 }
 
 /** Maximum attempts to delete a stale claim; after that it remains until its lease expires. */
@@ -143,7 +143,7 @@
       });
       if (swapped.err) addStale(own.key, own.claim);
     },
-    tidy: async () => {
+    releaseStale: async () => {
       const entries = [...stale.values()];
       await Promise.all(
         entries.map((staleClaim) => tidyClaim(store, { staleClaim, stale })),
--- a/packages/store/client.ts
+++ b/packages/store/client.ts
@@ -5,7 +5,7 @@
  */
 import * as undici from "undici";
 import * as utils from "@banyangrade/utils";
-import * as wire from "./wire.ts";
+import * as etcdMessages from "./etcd_messages.ts";
 
 const PEER = "store";
 
@@ -95,31 +95,36 @@
 
   return {
     get: async (key) => {
-      const response = await call<wire.RangeResponse>("range", {
-        key: wire.encodeText(key),
+      const response = await call<etcdMessages.RangeResponse>("range", {
+        key: etcdMessages.encodeText(key),
       });
       return response.map((range) => range.kvs?.map(toEntry)[0]);
     },
     list: async (prefix, { after, limit } = {}) => {
-      const response = await call<wire.RangeResponse>("range", {
-        key: wire.encodeText(after === undefined ? prefix : `${after}\0`),
-        range_end: wire.encodeText(wire.getRangeEnd(prefix)),
+      const response = await call<etcdMessages.RangeResponse>("range", {
+        key: etcdMessages.encodeText(
+          after === undefined ? prefix : `${after}\0`,
+        ),
+        range_end: etcdMessages.encodeText(etcdMessages.getRangeEnd(prefix)),
         limit: String(limit ?? 0),
       });
       return response.map((range) => (range.kvs ?? []).map(toEntry));
     },
     swap: async (swap) => {
-      const response = await call<wire.TxnResponse>("txn", buildTxn(swap));
+      const response = await call<etcdMessages.TxnResponse>(
+        "txn",
+        buildTxn(swap),
+      );
       return response.map(parseSwapOutcome);
     },
     grantLease: async (ttlSeconds) => {
-      const response = await call<wire.LeaseResponse>("grant", {
+      const response = await call<etcdMessages.LeaseResponse>("grant", {
         TTL: String(ttlSeconds),
       });
       return response.map((lease) => lease.ID ?? "");
     },
     renewLease: async (id) => {
-      const response = await call<{ result?: wire.LeaseResponse }>(
+      const response = await call<{ result?: etcdMessages.LeaseResponse }>(
         "keepalive",
         { ID: id },
       );
@@ -188,20 +193,20 @@
   });
 }
 
-function toEntry(pair: wire.WirePair): StoreEntry {
+function toEntry(pair: etcdMessages.WirePair): StoreEntry {
   return {
-    key: wire.decodeText(pair.key),
-    value: wire.decodeText(pair.value),
+    key: etcdMessages.decodeText(pair.key),
+    value: etcdMessages.decodeText(pair.value),
     modRevision: Number(pair.mod_revision),
   };
 }
 
-function buildTxn(swap: Swap): wire.TxnRequest {
-  const key = wire.encodeText(swap.key);
+function buildTxn(swap: Swap): etcdMessages.TxnRequest {
+  const key = etcdMessages.encodeText(swap.key);
   const put = swap.value === undefined ? { request_delete_range: { key } } : {
     request_put: {
       key,
-      value: wire.encodeText(swap.value),
+      value: etcdMessages.encodeText(swap.value),
       ...(swap.lease === undefined ? {} : { lease: swap.lease }),
     },
   };
@@ -217,7 +222,7 @@
   };
 }
 
-function parseSwapOutcome(response: wire.TxnResponse): SwapOutcome {
+function parseSwapOutcome(response: etcdMessages.TxnResponse): SwapOutcome {
   if (response.succeeded === true) {
     return { kind: "won", modRevision: Number(response.header?.revision ?? 0) };
   }
@@ -281,8 +286,10 @@
     headers: { "content-type": "application/json" },
     body: JSON.stringify({
       create_request: {
-        key: wire.encodeText(options.prefix),
-        range_end: wire.encodeText(wire.getRangeEnd(options.prefix)),
+        key: etcdMessages.encodeText(options.prefix),
+        range_end: etcdMessages.encodeText(
+          etcdMessages.getRangeEnd(options.prefix),
+        ),
       },
     }),
     signal: options.signal,
@@ -294,18 +301,18 @@
     const lines = (rest + String(chunk)).split("\n");
     rest = lines.pop() ?? "";
     lines.filter((line) => line !== "").forEach((line) =>
-      parseWatchLine(JSON.parse(line) as wire.WatchLine).forEach(
+      parseWatchLine(JSON.parse(line) as etcdMessages.WatchLine).forEach(
         options.onEvent,
       )
     );
   }
 }
 
-function parseWatchLine(line: wire.WatchLine): WatchEvent[] {
+function parseWatchLine(line: etcdMessages.WatchLine): WatchEvent[] {
   if (line.result?.created === true) return [{ kind: "opened" }];
   return (line.result?.events ?? []).map((event) =>
     event.type === "DELETE"
-      ? { kind: "deleted", key: wire.decodeText(event.kv.key) }
+      ? { kind: "deleted", key: etcdMessages.decodeText(event.kv.key) }
       : { kind: "put", entry: toEntry(event.kv) }
   );
 }
--- a/packages/store/config_store_fuzz_test.ts
+++ b/packages/store/config_store_fuzz_test.ts
@@ -3,7 +3,7 @@
 import * as tap from "tap";
 import * as core from "@banyangrade/core";
 import * as store from "./mod.ts";
-import * as simTesting from "./sim_testing.ts";
+import * as simulatedHosts from "./simulated_hosts.ts";
 
 const RUNS = Number(process.env.FUZZ_RUNS ?? 150);
 const SEED = Number(process.env.FUZZ_SEED ?? 20_261_203);
@@ -11,7 +11,7 @@
 const ACTORS = 4;
 
 type Step =
-  | simTesting.WorldStep
+  | simulatedHosts.WorldStep
   | { readonly kind: "publish"; readonly actor: number }
   /** Publishes several changes; all calls are answered. */
   | { readonly kind: "publish_many"; readonly actor: number }
@@ -19,7 +19,7 @@
   | { readonly kind: "restart"; readonly actor: number };
 
 const step: fc.Arbitrary<Step> = fc.oneof(
-  { weight: 10, arbitrary: simTesting.createWorldStep(ACTORS) },
+  { weight: 10, arbitrary: simulatedHosts.createWorldStep(ACTORS) },
   {
     weight: 3,
     arbitrary: fc.record({
@@ -51,7 +51,7 @@
 );
 
 class Harness {
-  readonly world = new simTesting.SimWorld();
+  readonly world = new simulatedHosts.SimWorld();
   readonly known: core.Configuration[] = Array.from(
     { length: ACTORS },
     () => core.EMPTY_CONFIGURATION,
@@ -112,7 +112,7 @@
       return;
     }
     const { change } = outcome.val;
-    simTesting.assertHolds(
+    simulatedHosts.assertHolds(
       !this.committed.has(change.revision),
       "two operators were told that they committed the same revision",
     );
@@ -127,12 +127,12 @@
     const read = await store.readConfiguration(client, before);
     if (read.err) return;
     const { configuration } = read.val;
-    simTesting.assertHolds(
+    simulatedHosts.assertHolds(
       configuration.revision >= before.revision,
       "the revision of a host decreased",
     );
     const digest = this.digests.get(configuration.revision);
-    simTesting.assertHolds(
+    simulatedHosts.assertHolds(
       digest === undefined || digest === configuration.digest,
       "a revision has two different contents",
     );
@@ -146,13 +146,13 @@
     await this.world.answerAll();
     const { services, revision } = this.known[2];
     this.committed.forEach((name, at) => {
-      simTesting.assertHolds(
+      simulatedHosts.assertHolds(
         services.has(name),
         `revision ${at} was committed but is missing at ${revision}`,
       );
     });
     this.overtaken.forEach((name) =>
-      simTesting.assertHolds(
+      simulatedHosts.assertHolds(
         !services.has(name),
         "an overtaken change was applied",
       )
--- a/packages/store/fake.ts
+++ b/packages/store/fake.ts
@@ -7,7 +7,7 @@
 import type * as net from "node:net";
 import * as utils from "@banyangrade/utils";
 import * as kvState from "./kv_state.ts";
-import * as wire from "./wire.ts";
+import * as etcdMessages from "./etcd_messages.ts";
 
 /** Fault that the fake store injects. */
 export type StoreFault =
@@ -32,7 +32,7 @@
   readonly url: string;
   readonly setFault: (fault: StoreFault) => void;
   /** Disconnects or reconnects one listener. */
-  readonly setCut: (url: string, cut: boolean) => void;
+  readonly setDisconnected: (url: string, cut: boolean) => void;
   /** Opens another listener and returns its URL. */
   readonly openListener: (port?: number) => Promise<string>;
   readonly count: () => { readonly reads: number; readonly writes: number };
@@ -82,7 +82,7 @@
       state.fault = fault;
       if (fault.kind === "down") endWatches(state, () => true);
     },
-    setCut: (listener, cut) => {
+    setDisconnected: (listener, cut) => {
       if (!cut) return void state.disconnected.delete(listener);
       state.disconnected.add(listener);
       endWatches(state, (watcher) => watcher.listener === listener);
@@ -90,7 +90,7 @@
     count: () => ({ reads: state.reads, writes: state.writes }),
     peek: (key) => state.kv.get(key)?.value,
     list: (prefix) =>
-      state.kv.list(prefix, wire.getRangeEnd(prefix))
+      state.kv.list(prefix, etcdMessages.getRangeEnd(prefix))
         .map((pair) => [pair.key, pair.value]),
     close: async () => {
       clearInterval(expiryTimer);
@@ -219,24 +219,27 @@
   }
 }
 
-function toWire(pair: kvState.KvPair): wire.WirePair {
+function toWire(pair: kvState.KvPair): etcdMessages.WirePair {
   return {
-    key: wire.encodeText(pair.key),
-    value: wire.encodeText(pair.value),
+    key: etcdMessages.encodeText(pair.key),
+    value: etcdMessages.encodeText(pair.value),
     mod_revision: String(pair.modRevision),
     create_revision: String(pair.createRevision),
     lease: pair.lease,
   };
 }
 
-function runRange(state: State, body: wire.RangeRequest): wire.RangeResponse {
-  const from = wire.decodeText(body.key);
+function runRange(
+  state: State,
+  body: etcdMessages.RangeRequest,
+): etcdMessages.RangeResponse {
+  const from = etcdMessages.decodeText(body.key);
   const header = { revision: String(state.kv.revision) };
   if (body.range_end === undefined) {
     const pair = state.kv.get(from);
     return { header, kvs: pair === undefined ? [] : [toWire(pair)] };
   }
-  const found = state.kv.list(from, wire.decodeText(body.range_end));
+  const found = state.kv.list(from, etcdMessages.decodeText(body.range_end));
   const limit = Number(body.limit ?? 0) || found.length;
   return {
     header,
@@ -245,9 +248,15 @@
   };
 }
 
-function runTxn(state: State, body: wire.TxnRequest): wire.TxnResponse {
+function runTxn(
+  state: State,
+  body: etcdMessages.TxnRequest,
+): etcdMessages.TxnResponse {
   const succeeded = body.compare.every((compare) =>
-    state.kv.isAt(wire.decodeText(compare.key), Number(compare.mod_revision))
+    state.kv.isAt(
+      etcdMessages.decodeText(compare.key),
+      Number(compare.mod_revision),
+    )
   );
   if (succeeded) body.success.forEach((step) => applyWrite(state, step));
   return {
@@ -259,13 +268,18 @@
   };
 }
 
-function applyWrite(state: State, step: wire.TxnRequest["success"][0]): void {
+function applyWrite(
+  state: State,
+  step: etcdMessages.TxnRequest["success"][0],
+): void {
   const { request_put: put, request_delete_range: removal } = step;
   if (put !== undefined) {
-    const value = wire.decodeText(put.value);
-    state.kv.put(wire.decodeText(put.key), { value, lease: put.lease });
+    const value = etcdMessages.decodeText(put.value);
+    state.kv.put(etcdMessages.decodeText(put.key), { value, lease: put.lease });
+  }
+  if (removal !== undefined) {
+    state.kv.remove(etcdMessages.decodeText(removal.key));
   }
-  if (removal !== undefined) state.kv.remove(wire.decodeText(removal.key));
 }
 
 function notify(state: State, change: kvState.KvChange): void {
@@ -281,8 +295,8 @@
 function openWatch(state: State, exchange: Exchange): void {
   const create = JSON.parse(exchange.body).create_request;
   const watcher = {
-    from: wire.decodeText(create.key),
-    to: wire.decodeText(create.range_end),
+    from: etcdMessages.decodeText(create.key),
+    to: etcdMessages.decodeText(create.range_end),
     answer: exchange.answer,
     listener: exchange.listener,
   };
--- a/packages/store/lease_holder.ts
+++ b/packages/store/lease_holder.ts
@@ -40,13 +40,13 @@
    * only one can succeed.
    * @default 0
    */
-  readonly getPauseMs?: () => number;
+  readonly getAttemptDelayMs?: () => number;
   /** Called when this host acquires or loses the role. */
   readonly onChange: (lease: core.LeaseState) => void;
   /** How other hosts reach this host while it holds the role. */
   readonly contact?: RoleContact;
   /** Called with the holder if another host holds the role. */
-  readonly onOther?: (record: RoleRecord) => void;
+  readonly onOtherHolder?: (record: RoleRecord) => void;
 }
 
 /** A role that this host holds or tries to acquire. */
@@ -54,7 +54,7 @@
   /** Returns the local state of the lease. Call it immediately before each action that needs the role. */
   readonly getLease: () => core.LeaseState;
   /** Resolves after the first lookup of the role's holder. */
-  readonly looked: Promise<void>;
+  readonly firstLookup: Promise<void>;
   /** Revokes the lease, so that the next holder need not wait until it expires. */
   readonly release: () => Promise<void>;
 }
@@ -104,7 +104,7 @@
   const first = setTimeout(() => void advance(), 0);
   return {
     getLease: () => lease,
-    looked,
+    firstLookup: looked,
     release: async () => {
       released = true;
       stop();
@@ -162,7 +162,7 @@
   if (current.err) return { kind: "none" };
   const holder = parseRole(current.val);
   if (current.val !== undefined && !isOwnPreviousProcess(holder, options)) {
-    if (holder !== undefined) options.onOther?.(holder);
+    if (holder !== undefined) options.onOtherHolder?.(holder);
     return { kind: "none" };
   }
   const granted = await options.store.grantLease(options.terms.ttlMs / 1_000);
@@ -183,7 +183,7 @@
     const winner = swapped.ok && swapped.val.kind === "lost"
       ? parseRole(swapped.val.current)
       : undefined;
-    if (winner !== undefined) options.onOther?.(winner);
+    if (winner !== undefined) options.onOtherHolder?.(winner);
     await options.store.revokeLease(granted.val);
     return { kind: "none" };
   }
@@ -222,7 +222,7 @@
   });
   const first = await read();
   const isFree = first.current.ok && first.current.val === undefined;
-  const delayMs = isFree ? options.getPauseMs?.() ?? 0 : 0;
+  const delayMs = isFree ? options.getAttemptDelayMs?.() ?? 0 : 0;
   if (delayMs === 0) return first;
   options.onAttemptDelay?.();
   await utils.waitFor(delayMs);
--- a/packages/store/lease_holder_test.ts
+++ b/packages/store/lease_holder_test.ts
@@ -101,8 +101,8 @@
       terms: TERMS,
       flightMs: 0,
       isCandidate: () => true,
-      getPauseMs: () => 1,
-      onOther: ({ host }) => foundHolders.push(host),
+      getAttemptDelayMs: () => 1,
+      onOtherHolder: ({ host }) => foundHolders.push(host),
     });
   // The host with the shortest delay tries to acquire the role only after all other
   // hosts have read that it is free.
--- a/packages/store/prefix_cache.ts
+++ b/packages/store/prefix_cache.ts
@@ -4,7 +4,7 @@
  * removed since the last full read, so that followers also learn of removals.
  */
 import type * as client from "./client.ts";
-import type * as feed from "./feed.ts";
+import type * as prefixWatch from "./prefix_watch.ts";
 
 /** Maximum number of removals that are kept; a follower that needs older ones must read in full. */
 const MAX_REMOVALS = 1_000;
@@ -21,54 +21,54 @@
   /** Revision after which all removals are known. */
   #removalsKnownAfter = Number.POSITIVE_INFINITY;
   #revision = 0;
-  #provedAt = Number.NEGATIVE_INFINITY;
+  #currentAsOf = Number.NEGATIVE_INFINITY;
 
   /** Time at which the newest read that proves the copy current was sent; -Infinity before the first read. */
-  get provedAt(): number {
-    return this.#provedAt;
+  get currentAsOf(): number {
+    return this.#currentAsOf;
   }
 
   /** Replaces the copy with the result of a full read that was sent at `sentAt`. */
-  setAll(snapshot: feed.Snapshot, sentAt: number): void {
+  setAll(snapshot: prefixWatch.PrefixSnapshot, sentAt: number): void {
     this.#entries.clear();
     snapshot.entries.forEach((entry) => this.#entries.set(entry.key, entry));
     this.#removals = [];
     this.#removalsKnownAfter = snapshot.revision;
     this.#revision = snapshot.revision;
-    this.#provedAt = Math.max(this.#provedAt, sentAt);
+    this.#currentAsOf = Math.max(this.#currentAsOf, sentAt);
   }
 
   /** Applies the changes returned by a poll that was sent at `sentAt`. */
-  apply(changes: feed.Changes, sentAt: number): void {
+  apply(changes: prefixWatch.Changes, sentAt: number): void {
     changes.changes.forEach((change) => this.#applyChange(change));
     if (changes.changes.length > 0) {
       this.#revision = Math.max(this.#revision, changes.revision);
     }
-    this.#provedAt = Math.max(this.#provedAt, sentAt);
+    this.#currentAsOf = Math.max(this.#currentAsOf, sentAt);
   }
 
   /** Returns all entries. */
-  read(): feed.Snapshot {
+  read(): prefixWatch.PrefixSnapshot {
     return { entries: [...this.#entries.values()], revision: this.#revision };
   }
 
   /** Returns the changes after a revision; undefined if removals since then may have been discarded. */
-  listSince(after: number): feed.Changes | undefined {
+  listSince(after: number): prefixWatch.Changes | undefined {
     if (after < this.#removalsKnownAfter) return undefined;
     const puts = [...this.#entries.values()]
       .filter((entry) => entry.modRevision > after)
-      .map((entry): feed.Change => ({ kind: "put", entry }));
+      .map((entry): prefixWatch.Change => ({ kind: "put", entry }));
     const removals = this.#removals
       // A key that was written again after its removal exists.
       .filter(({ key, modRevision }) =>
         modRevision > after && !this.#entries.has(key)
       )
-      .map((removal): feed.Change => ({ kind: "deleted", ...removal }));
+      .map((removal): prefixWatch.Change => ({ kind: "deleted", ...removal }));
     return { changes: [...puts, ...removals], revision: this.#revision };
   }
 
   /** Applies a change unless the entry, for example from a later full read, is already newer. */
-  #applyChange(change: feed.Change): void {
+  #applyChange(change: prefixWatch.Change): void {
     switch (change.kind) {
       case "put": {
         const known = this.#entries.get(change.entry.key);
--- a/packages/store/prefix_cache_test.ts
+++ b/packages/store/prefix_cache_test.ts
@@ -2,7 +2,7 @@
 import * as fc from "fast-check";
 import * as tapModule from "tap";
 import type * as client from "./client.ts";
-import type * as feed from "./feed.ts";
+import type * as prefixWatch from "./prefix_watch.ts";
 import * as prefixCache from "./prefix_cache.ts";
 
 const tap = tapModule.default;
@@ -14,7 +14,7 @@
 /** Returns a follower's entries after changes are applied to them. */
 function applyAll(
   held: ReadonlyMap<string, client.StoreEntry>,
-  changes: readonly feed.Change[],
+  changes: readonly prefixWatch.Change[],
 ): Map<string, client.StoreEntry> {
   const next = new Map(held);
   changes.forEach((change) => {
@@ -38,10 +38,10 @@
 
 tap.test("the time of the last proof never decreases, and the first read sets it", (t) => {
   const cache = new prefixCache.PrefixCache();
-  t.equal(cache.provedAt, Number.NEGATIVE_INFINITY);
+  t.equal(cache.currentAsOf, Number.NEGATIVE_INFINITY);
   cache.setAll({ entries: [], revision: 1 }, 100);
   cache.apply({ changes: [], revision: 1 }, 50);
-  t.equal(cache.provedAt, 100);
+  t.equal(cache.currentAsOf, 100);
   t.end();
 });
 
@@ -98,7 +98,7 @@
           return cache.setAll({ entries: [...expected.values()], revision }, 0);
         }
         revision += 1;
-        const change: feed.Change = kind === "put"
+        const change: prefixWatch.Change = kind === "put"
           ? { kind: "put", entry: buildEntry(key, revision) }
           : { kind: "deleted", key, modRevision: revision };
         expected = applyAll(expected, [change]);
--- a/packages/store/feed.ts
+++ b/packages/store/prefix_watch.ts
@@ -8,7 +8,7 @@
 import type * as client from "./client.ts";
 
 /** All entries of a prefix at one revision. */
-export interface Snapshot {
+export interface PrefixSnapshot {
   readonly entries: readonly client.StoreEntry[];
   readonly revision: number;
   /**
@@ -33,7 +33,7 @@
   readonly changes: readonly Change[];
   /** Revision from which the next poll continues. */
   readonly revision: number;
-  /** Age of the data as in {@link Snapshot}, in ms. @default 0 */
+  /** Age of the data as in {@link PrefixSnapshot}, in ms. @default 0 */
   readonly ageMs?: number;
 }
 
@@ -42,7 +42,7 @@
   /** Reads a prefix in full, never from a stale copy. */
   readonly readAll: (
     prefix: string,
-  ) => Promise<utils.Result<Snapshot, utils.StepError>>;
+  ) => Promise<utils.Result<PrefixSnapshot, utils.StepError>>;
   /**
    * Waits for changes after a revision. The error `not_found` means that the
    * history since then has been deleted, so the prefix must be read in full.
@@ -82,7 +82,7 @@
    * such as all servers of a failure domain that leave together. Without the delay,
    * each change would cost every host a call.
    */
-  readonly getSettleMs: () => number;
+  readonly getBatchDelayMs: () => number;
   readonly onEvent: (event: FeedEvent) => void;
 }
 
@@ -95,7 +95,7 @@
  * Starts to follow a prefix; returns a function that stops it.
  *
  * @example
- * const stop = watchPrefix({ feed, clock, prefix: "servers/", waitMs: 1000, getSettleMs: () => 100, onEvent });
+ * const stop = watchPrefix({ feed, clock, prefix: "servers/", waitMs: 1000, getBatchDelayMs: () => 100, onEvent });
  */
 export function watchPrefix(options: WatchPrefixOptions): () => void {
   const { clock, feed, prefix, onEvent } = options;
@@ -128,7 +128,7 @@
     // revision returns them or fails with `not_found`.
     if (changes.length > 0) after = Math.max(since, revision);
     onEvent({ kind: "changed", changes, revision, sentAt: sentAt - ageMs });
-    if (changes.length > 0) await utils.waitFor(options.getSettleMs());
+    if (changes.length > 0) await utils.waitFor(options.getBatchDelayMs());
     return undefined;
   }
 
--- a/packages/store/sim_testing.ts
+++ b/packages/store/simulated_hosts.ts
@@ -1,13 +1,13 @@
 /** Simulation steps that the fuzz tests with several simulated hosts share. */
 import * as fc from "fast-check";
-import * as sim from "./sim.ts";
+import * as simulatedStore from "./simulated_store.ts";
 
 /** A step of the simulation: it delivers calls, advances the time, or starts or ends a fault. */
 export type WorldStep =
   | {
     readonly kind: "deliver";
     readonly pick: number;
-    readonly fate: sim.CallFate;
+    readonly fate: simulatedStore.CallFate;
   }
   | { readonly kind: "deliver_all" }
   | { readonly kind: "deliver_delayed"; readonly pick: number }
@@ -31,7 +31,7 @@
   advances: readonly number[] = [10, 500, 2_600, 2_600, 5_000, 9_000],
 ): fc.Arbitrary<WorldStep> {
   const host = fc.nat({ max: hosts - 1 });
-  const fate: fc.Arbitrary<sim.CallFate> = fc.oneof(
+  const fate: fc.Arbitrary<simulatedStore.CallFate> = fc.oneof(
     { weight: 16, arbitrary: fc.constant("answered" as const) },
     {
       weight: 3,
@@ -81,7 +81,7 @@
 /** Simulated hosts with their store and clock, in virtual time. */
 export class SimWorld {
   now = 0;
-  readonly store = new sim.SimStore(() => this.now);
+  readonly store = new simulatedStore.SimStore(() => this.now);
   /** Clock of all hosts; it advances while a host is frozen. */
   readonly clock = { now: () => this.now, wall: () => this.now };
 
@@ -116,7 +116,7 @@
   }
 
   async #flush(): Promise<void> {
-    await sim.flushPromises();
+    await simulatedStore.flushPromises();
     if (this.#failure !== undefined) throw this.#failure;
   }
 
--- a/packages/store/sim.ts
+++ b/packages/store/simulated_store.ts
@@ -6,7 +6,7 @@
 import * as utils from "@banyangrade/utils";
 import type * as client from "./client.ts";
 import * as kvState from "./kv_state.ts";
-import * as wire from "./wire.ts";
+import * as etcdMessages from "./etcd_messages.ts";
 
 /** Outcome that the test chooses for a call. */
 export type CallFate =
@@ -102,7 +102,7 @@
         call(() =>
           this.kv.list(
             after === undefined ? prefix : `${after}\0`,
-            wire.getRangeEnd(prefix),
+            etcdMessages.getRangeEnd(prefix),
           ).slice(0, limit || undefined).map(toEntry)
         ),
       swap: (swap) => call(() => this.#swap(swap)),
--- a/packages/usage/reporter_fuzz_test.ts
+++ b/packages/usage/reporter_fuzz_test.ts
@@ -3,7 +3,7 @@
 import * as tap from "tap";
 import * as core from "@banyangrade/core";
 import * as store from "@banyangrade/store";
-import * as simTesting from "@banyangrade/store/sim_testing.ts";
+import * as simulatedHosts from "@banyangrade/store/simulated_hosts.js";
 import * as utils from "@banyangrade/utils";
 import * as usage from "./mod.ts";
 
@@ -14,7 +14,7 @@
 const TERMS = { ttlMs: 8_000, marginMs: 500 };
 
 type Step =
-  | simTesting.WorldStep
+  | simulatedHosts.WorldStep
   | { readonly kind: "record"; readonly host: number }
   | {
     readonly kind: "flush";
@@ -39,7 +39,12 @@
 const step: fc.Arbitrary<Step> = fc.oneof(
   {
     weight: 14,
-    arbitrary: simTesting.createWorldStep(HOSTS, [500, 1_300, 2_600, 8_000]),
+    arbitrary: simulatedHosts.createWorldStep(HOSTS, [
+      500,
+      1_300,
+      2_600,
+      8_000,
+    ]),
   },
   {
     weight: 4,
@@ -98,7 +103,7 @@
 }
 
 class Harness {
-  readonly world = new simTesting.SimWorld();
+  readonly world = new simulatedHosts.SimWorld();
   readonly hosts: SimHost[] = [0, 1, 2].map((index) => this.#createHost(index));
   readonly gone: SimHost[] = [];
   readonly pendingReports: PendingReport[] = [];
@@ -233,7 +238,7 @@
     const late = this.world.now - pending.sentAt > usage.REPORT_FLIGHT_MS;
     pending.answer(next.answered && !late);
     if (late) return;
-    simTesting.assertHolds(
+    simulatedHosts.assertHolds(
       pending.token >= this.newestToken,
       "a report of an earlier lease holder arrived after a later holder's report",
     );
@@ -244,7 +249,7 @@
       pending.window.adjustments,
     ]);
     const before = this.reported.get(id) ?? text;
-    simTesting.assertHolds(
+    simulatedHosts.assertHolds(
       before === text,
       "a window was reported with different figures",
     );
@@ -294,14 +299,14 @@
       ...window.adjustments.map((adjustment) => adjustment.figures),
     ]).reduce<core.UsageTable>(core.addFigures, {});
     this.hosts.forEach((simHost) =>
-      simTesting.assertHolds(
+      simulatedHosts.assertHolds(
         (counted[simHost.source]?.requests ?? 0) === simHost.recorded,
         `usage lost or counted twice: ${simHost.source} recorded ${simHost.recorded}, ` +
           `reported ${counted[simHost.source]?.requests ?? 0}`,
       )
     );
     this.gone.forEach((simHost) =>
-      simTesting.assertHolds(
+      simulatedHosts.assertHolds(
         (counted[simHost.source]?.requests ?? 0) <= simHost.recorded,
         "usage of a crashed host was counted twice",
       )
--- a/scripts/mutations.ts
+++ b/scripts/mutations.ts
@@ -314,7 +314,7 @@
   },
   {
     name: "claims: a claim is written although the key exists",
-    file: "packages/store/sim.ts",
+    file: "packages/store/simulated_store.ts",
     find: "if (!this.kv.isAt(key, swap.expected) || !isLeaseValid) {",
     replace: "if (!isLeaseValid) {",
     test: CLAIMS,
