--- a/bench/backend.ts
+++ b/bench/backend.ts
@@ -3,7 +3,7 @@
  * services by randomly drawn durations, and the attempts lost in a crash.
  */
 import type * as core from "@banyangrade/core";
-import * as engineModel from "@banyangrade/engine/model.ts";
+import * as engineModel from "@banyangrade/engine/latency_model.js";
 import * as utils from "@banyangrade/utils";
 import type * as figureRecorder from "./figure_recorder.ts";
 import type * as scenarios from "./scenario.ts";
--- a/bench/control.ts
+++ b/bench/control.ts
@@ -109,7 +109,7 @@
 async function measureChange(cluster: clusterModule.Cluster): Promise<number> {
   const client = store.createStoreClient({ url: cluster.store.url });
   const { part } = core.createKey("load", ["any"]);
-  const committed = await operator.commitAgain(client, {
+  const committed = await operator.commitWithRetry(client, {
     difference: { puts: [part], removes: [] },
     author: "control",
   });
--- a/packages/banyangrade/authenticated_request.ts
+++ b/packages/banyangrade/authenticated_request.ts
@@ -47,7 +47,7 @@
     readonly refusal: core.Refusal;
   },
 ): void {
-  const hasIdempotencyKey = caller.isKeyedCall(head);
+  const hasIdempotencyKey = caller.isCallWithIdempotencyKey(head);
   const marked = hasIdempotencyKey ? core.markRanUnknown(refusal) : refusal;
   refuseRequest(context, { head, refusal: marked });
 }
--- a/packages/banyangrade/autoscaler_task.ts
+++ b/packages/banyangrade/autoscaler_task.ts
@@ -98,7 +98,7 @@
   }
 
   async #sendOrder(desired: core.DesiredCount): Promise<void> {
-    const outcome = await fleet.sendDesired(desired, {
+    const outcome = await fleet.sendDesiredCount(desired, {
       ...this.#options,
       getLease: this.#options.holder.getLease,
     });
--- a/packages/banyangrade/call_exchange.ts
+++ b/packages/banyangrade/call_exchange.ts
@@ -19,7 +19,7 @@
 
 /** Outcome of a call. */
 export type CallOutcome =
-  | { readonly kind: "whole"; readonly answer: service.ServiceAnswer }
+  | { readonly kind: "whole"; readonly answer: service.ServiceResponse }
   | { readonly kind: "refused"; readonly refusal: core.Refusal }
   | { readonly kind: "left" };
 
--- a/packages/banyangrade/caller_request_handler.ts
+++ b/packages/banyangrade/caller_request_handler.ts
@@ -173,7 +173,7 @@
   return core.buildRefusal({ code: "bad_request", ran: "no", step, message });
 }
 
-function sendJson(answer: caller.CallerAnswer, value: unknown): void {
+function sendJson(answer: caller.CallerResponse, value: unknown): void {
   answer.send({
     status: 200,
     headers: { "content-type": "application/json" },
--- a/packages/banyangrade/commands/key.ts
+++ b/packages/banyangrade/commands/key.ts
@@ -70,7 +70,7 @@
     ? options.classes
     : customer.classes;
   const { secret, part } = core.createKey(customer.name, granted);
-  const committed = await operator.commitAgain(connection.store, {
+  const committed = await operator.commitWithRetry(connection.store, {
     difference: { puts: [part], removes: [] },
     author: publish.getAuthor(options.input.options),
   });
@@ -105,7 +105,7 @@
     connection,
     (client, signal) => client.withdrawKey.mutate(name, { signal }),
   );
-  const committed = await operator.commitAgain(connection.store, {
+  const committed = await operator.commitWithRetry(connection.store, {
     difference: { puts: [], removes: [`key/${name}`] },
     author: publish.getAuthor(input.options),
   });
--- a/packages/banyangrade/commands/publish.ts
+++ b/packages/banyangrade/commands/publish.ts
@@ -79,7 +79,7 @@
   if (read.err) return printError(read.val);
   const difference = core.computeDifference(read.val.configuration, {
     wanted: parts,
-    owned: operator.OWNED_KINDS,
+    owned: operator.SERVICE_FILE_KINDS,
   });
   process.stdout.write(formatDifference(difference));
   return commandLine.EXIT.ok;
--- a/packages/banyangrade/commands/serve.ts
+++ b/packages/banyangrade/commands/serve.ts
@@ -48,7 +48,7 @@
     host.drain().then(
       () => process.exit(commandLine.EXIT.ok),
       (thrown) => {
-        log.error({ error: utils.readMessage(thrown) }, "Drain failed.");
+        log.error({ error: utils.getErrorMessage(thrown) }, "Drain failed.");
         process.exit(commandLine.EXIT.failed);
       },
     );
--- a/packages/banyangrade/exchange.ts
+++ b/packages/banyangrade/exchange.ts
@@ -149,7 +149,7 @@
 export function refuseCaller(
   context: Pick<ExchangeContext, "log" | "metrics" | "refusals">,
   { answer, refusal, requestId }: {
-    readonly answer: caller.CallerAnswer;
+    readonly answer: caller.CallerResponse;
     readonly refusal: core.Refusal;
     readonly requestId: string;
   },
--- a/packages/banyangrade/gateway/attempt_request.ts
+++ b/packages/banyangrade/gateway/attempt_request.ts
@@ -40,7 +40,7 @@
     method: incoming.method,
     path: incoming.path,
     headers: {
-      ...utils.dropHopHeaders(incoming.headers, wire.reserved),
+      ...utils.removeHopByHopHeaders(incoming.headers, wire.reserved),
       ...wire.buildAttemptHeaders({
         deadlineMs: Math.max(1, Math.floor(deadlineAt - now)),
         customer: request.customer === "" ? undefined : request.customer,
@@ -53,8 +53,8 @@
     body,
     stream: route.kind === "stream",
     lastEventId,
-    readMarks: wire.readMarks,
-    silence: computeSilenceLimits(options),
+    readResponseMetadata: wire.readResponseMetadata,
+    inactivityLimits: computeInactivityLimits(options),
   };
 }
 
@@ -72,9 +72,9 @@
 const MIN_GAP_TIMEOUT_MS = 1_500;
 
 /** Computes the timeouts of an attempt; only one that may be repeated has shorter ones than the deadline. */
-function computeSilenceLimits(
+function computeInactivityLimits(
   { exchange, attempt, now }: AttemptOptions,
-): service.SilenceLimits {
+): service.InactivityLimits {
   const { route, request, deadlineAt } = exchange;
   const remainingMs = Math.max(1, deadlineAt - now);
   // Calls are short, so the server's other work does not explain a call that hangs.
--- a/packages/banyangrade/gateway/connection_pools.ts
+++ b/packages/banyangrade/gateway/connection_pools.ts
@@ -39,7 +39,7 @@
 
   /** Whether an open connection to the server is idle. */
   hasIdleConnection(name: string): boolean {
-    return this.#pools.get(name)?.hasFree() ?? false;
+    return this.#pools.get(name)?.hasIdleConnection() ?? false;
   }
 
   /** Returns the connection pool of a server; it is created on first use. */
--- a/packages/banyangrade/gateway/platform_interface.ts
+++ b/packages/banyangrade/gateway/platform_interface.ts
@@ -53,7 +53,7 @@
 export interface WireFormat {
   readonly readRequestHead: (headers: Headers) => RequestHead;
   readonly buildAttemptHeaders: (head: AttemptHead) => Record<string, string>;
-  readonly readMarks: service.ForwardCall["readMarks"];
+  readonly readResponseMetadata: service.ForwardCall["readResponseMetadata"];
   /** Headers that only the host may set; they are dropped from callers' requests. */
   readonly reserved: ReadonlySet<string>;
   /** Path of the readiness endpoint for the platform's load balancer. */
--- a/packages/banyangrade/gateway/request_exchange.ts
+++ b/packages/banyangrade/gateway/request_exchange.ts
@@ -73,7 +73,7 @@
   #ran: core.Ran = "no";
   #lastEventId: number;
   /** Last complete error response of a backend server; forwarded if no further attempt follows. */
-  #errorResponse: service.ForwardedAnswer | undefined;
+  #errorResponse: service.ForwardedResponse | undefined;
 
   constructor(context: ExchangeContext, options: ExchangeOptions) {
     this.#context = context;
--- a/packages/banyangrade/gateway/request_handler.ts
+++ b/packages/banyangrade/gateway/request_handler.ts
@@ -136,7 +136,7 @@
    */
   async #waitForPendingReads(): Promise<void> {
     if (this.#options.dispatch.getLoopDelay() < LATE_LOOP_MS) return;
-    await utils.waitForReads();
+    await utils.waitForSocketPoll();
   }
 
   #openExchange(admitted: AdmittedRequest, body: Buffer): void {
--- a/packages/banyangrade/generate_exchange.ts
+++ b/packages/banyangrade/generate_exchange.ts
@@ -19,7 +19,7 @@
   readonly stream: boolean;
   /** Request body, from which the caller's key was removed. */
   readonly body: Readonly<Record<string, unknown>>;
-  readonly answer: caller.CallerAnswer;
+  readonly answer: caller.CallerResponse;
 }
 
 type StartEffect = Extract<core.DispatchEffect, { kind: "start" }>;
@@ -106,7 +106,7 @@
     }
   }
 
-  answer.watchLeft(() => {
+  answer.watchDisconnect(() => {
     context.dispatch.send({ kind: "cancelled", requestId });
     context.dispatch.close(requestId);
     record.abandon();
--- a/packages/banyangrade/host_parts.ts
+++ b/packages/banyangrade/host_parts.ts
@@ -208,11 +208,11 @@
   const { settings } = draft;
   const usageHolder = startRole(draft, {
     role: "usage",
-    flightMs: usage.REPORT_FLIGHT_MS,
+    flightMs: usage.MAX_REPORT_DELIVERY_MS,
   });
   const autoscalerHolder = startRole(draft, {
     role: "orders",
-    flightMs: fleet.ORDER_FLIGHT_MS,
+    flightMs: fleet.MAX_ORDER_DELIVERY_MS,
   });
   draft.roles = [usageHolder, autoscalerHolder];
   draft.usage = new usageTask.UsageTask({
--- a/packages/banyangrade/main.ts
+++ b/packages/banyangrade/main.ts
@@ -7,6 +7,6 @@
   // ends the process itself.
   if (code !== undefined) process.exitCode = code;
 }).catch((thrown) => {
-  process.stderr.write(`${utils.readMessage(thrown)}\n`);
+  process.stderr.write(`${utils.getErrorMessage(thrown)}\n`);
   process.exitCode = commandLine.EXIT.failed;
 });
--- a/packages/banyangrade/operation_guard.ts
+++ b/packages/banyangrade/operation_guard.ts
@@ -60,7 +60,7 @@
     // The caller's response does not wait for the store.
     void this.#settle(own, ended).catch((thrown) =>
       this.#log.warn(
-        { error: utils.readMessage(thrown) },
+        { error: utils.getErrorMessage(thrown) },
         "The outcome of an operation could not be stored with its claim.",
       )
     );
--- a/packages/banyangrade/service_call_handler.ts
+++ b/packages/banyangrade/service_call_handler.ts
@@ -122,7 +122,7 @@
       method: incoming.method,
       path: caller.removeKeyFromPath(route.path, secret),
       headers: caller.removeKeyFromHeaders(
-        caller.keepHeaders(incoming.headers),
+        caller.getForwardableHeaders(incoming.headers),
         secret,
       ),
     };
@@ -133,7 +133,7 @@
         body,
         requestId,
         part,
-        onDisconnect: (callback) => incoming.answer.watchLeft(callback),
+        onDisconnect: (callback) => incoming.answer.watchDisconnect(callback),
       });
     const idempotencyKey = getIdempotencyKey(incoming);
     const repeatable = this.#isRepeatable(route.service, incoming.method);
--- a/packages/caller/answers.ts
+++ b/packages/caller/caller_response.ts
@@ -45,7 +45,7 @@
 }
 
 /** Response to one request of a caller. */
-export class CallerAnswer {
+export class CallerResponse {
   readonly #response: http.ServerResponse;
 
   constructor(response: http.ServerResponse) {
@@ -67,7 +67,7 @@
   }
 
   /** Invokes `callback` if the caller disconnects before the response is complete. */
-  watchLeft(callback: () => void): void {
+  watchDisconnect(callback: () => void): void {
     this.#response.on("close", () => {
       if (!this.#response.writableFinished) callback();
     });
--- a/packages/caller/mod.ts
+++ b/packages/caller/mod.ts
@@ -1,5 +1,5 @@
 /** HTTP server for callers: the OpenAI-compatible API and calls of plain services. */
-export * from "./answers.ts";
+export * from "./caller_response.ts";
 export * from "./parse.ts";
-export * from "./secrets.ts";
+export * from "./key_removal.ts";
 export * from "./server.ts";
--- a/packages/caller/server.ts
+++ b/packages/caller/server.ts
@@ -7,7 +7,7 @@
 import type * as net from "node:net";
 import * as core from "@banyangrade/core";
 import * as utils from "@banyangrade/utils";
-import * as answers from "./answers.ts";
+import * as callerResponse from "./caller_response.ts";
 import * as bodies from "./body.ts";
 
 /** Maximum size of a discarded body, as a multiple of the maximum body size. */
@@ -58,7 +58,7 @@
   readonly method: string;
   readonly url: string;
   readonly headers: http.IncomingHttpHeaders;
-  readonly answer: answers.CallerAnswer;
+  readonly answer: callerResponse.CallerResponse;
 }
 
 /** A complete request. */
@@ -183,7 +183,7 @@
     step: "caller.parse",
     message,
   });
-  const body = answers.formatRefusal(refusal);
+  const body = callerResponse.formatRefusal(refusal);
   socket.end(
     `HTTP/1.1 ${status}\r\nconnection: close\r\n` +
       `content-type: application/json\r\ncontent-length: ${body.length}\r\n\r\n${body}`,
@@ -200,7 +200,7 @@
   options: CallerServerOptions & { readonly budget: bodies.BodyBudget },
 ): Promise<void> {
   const { maxBodyBytes } = options.limits;
-  const answer = new answers.CallerAnswer(response);
+  const answer = new callerResponse.CallerResponse(response);
   const requestId = utils.createId();
   answer.setRequestId(requestId);
   const dropRest = () =>
@@ -225,7 +225,9 @@
   });
   if (typeof body === "string") {
     const refusal = buildParseRefusal(body);
-    answer.refuse(isKeyedCall(head) ? core.markRanUnknown(refusal) : refusal);
+    answer.refuse(
+      isCallWithIdempotencyKey(head) ? core.markRanUnknown(refusal) : refusal,
+    );
     return dropRest();
   }
   options.onRequest({ ...head, body });
@@ -238,7 +240,7 @@
  * @example
  * if (isKeyedCall(head)) refusal = core.clearUnproven(refusal);
  */
-export function isKeyedCall(
+export function isCallWithIdempotencyKey(
   head: Pick<CallerHead, "route" | "headers">,
 ): boolean {
   return head.route.kind === "call" &&
@@ -306,7 +308,7 @@
  * @example
  * const headers = keepHeaders(request.headers);
  */
-export function keepHeaders(
+export function getForwardableHeaders(
   headers: http.IncomingHttpHeaders,
 ): Record<string, string | string[]> {
   return utils.filterHeaders(headers);
--- a/packages/engine/client.ts
+++ b/packages/engine/client.ts
@@ -12,7 +12,7 @@
 /** Header with the number of tokens that the caller already received. */
 export const OFFSET_HEADER = "x-resume-offset";
 /** Data of the final event of a stream. */
-export const DONE = "[DONE]";
+export const FINAL_EVENT_DATA = "[DONE]";
 
 /** Request that an attempt sends, with its limits. */
 export interface EngineCall {
@@ -71,7 +71,7 @@
     return await readResponse(response, { call, sink });
   } catch (thrown) {
     if (call.signal.aborted) return { kind: "aborted" };
-    return { kind: "failed", failure: utils.classifyThrown(thrown) };
+    return { kind: "failed", failure: utils.classifyTransportError(thrown) };
   }
 }
 
@@ -132,7 +132,7 @@
   for await (const chunk of body) {
     parser.feed(decoder.decode(chunk, { stream: true }));
     const events = batch.splice(0);
-    const done = events.at(-1) === DONE;
+    const done = events.at(-1) === FINAL_EVENT_DATA;
     const data = done ? events.slice(0, -1) : events;
     // Guards against forwarding an event of another stream: each event carries its request identifier.
     if (!data.every((event) => event.includes(call.requestId))) {
--- a/packages/engine/fake.ts
+++ b/packages/engine/fake.ts
@@ -6,7 +6,7 @@
 import type * as net from "node:net";
 import * as utils from "@banyangrade/utils";
 import * as client from "./client.ts";
-import * as model from "./model.ts";
+import * as latencyModel from "./latency_model.ts";
 
 /** Fault that the fake engine injects. */
 export type EngineFault =
@@ -38,7 +38,7 @@
 export interface FakeEngineOptions {
   /** @default 0, a free port */
   readonly port?: number;
-  readonly shape?: model.EngineShape;
+  readonly shape?: latencyModel.EngineParameters;
 }
 
 /** A running fake engine. */
@@ -66,7 +66,7 @@
 }
 
 class EngineState {
-  readonly engine: model.EngineModel;
+  readonly engine: latencyModel.EngineModel;
   readonly running = new Map<string, RunningRequest>();
   readonly seen: SeenRequest[] = [];
   fault: EngineFault = { kind: "none" };
@@ -74,8 +74,8 @@
   stepping = false;
   nextId = 0;
 
-  constructor(shape: model.EngineShape | undefined) {
-    this.engine = new model.EngineModel(shape);
+  constructor(shape: latencyModel.EngineParameters | undefined) {
+    this.engine = new latencyModel.EngineModel(shape);
   }
 }
 
@@ -272,7 +272,7 @@
   if (request === undefined) return;
   state.running.delete(id);
   if (request.stream) {
-    request.answer.end(`data: ${client.DONE}\n\n`);
+    request.answer.end(`data: ${client.FINAL_EVENT_DATA}\n\n`);
     return;
   }
   const choice = request.chat
--- a/packages/engine/model.ts
+++ b/packages/engine/latency_model.ts
@@ -6,7 +6,7 @@
  */
 
 /** Capacity and timing of an engine. Times in ms. */
-export interface EngineShape {
+export interface EngineParameters {
   /** Maximum number of sequences in a batch. */
   readonly maxBatch: number;
   /** Duration of a decoding step with an empty batch. */
@@ -22,7 +22,7 @@
 }
 
 /** Default engine: about 30 ms between tokens under high load. */
-export const DEFAULT_SHAPE: EngineShape = {
+export const DEFAULT_PARAMETERS: EngineParameters = {
   maxBatch: 8,
   stepMs: 18,
   stepPerSequenceMs: 1.2,
@@ -63,12 +63,12 @@
 export class EngineModel {
   /** Factor on every step duration; 3 means a third of the normal speed. */
   slowdown = 1;
-  readonly #shape: EngineShape;
+  readonly #shape: EngineParameters;
   readonly #waiting: Sequence[] = [];
   readonly #active = new Map<string, RunningSequence>();
   readonly #cache = new Map<string, true>();
 
-  constructor(shape: EngineShape = DEFAULT_SHAPE) {
+  constructor(shape: EngineParameters = DEFAULT_PARAMETERS) {
     this.#shape = shape;
   }
 
--- a/packages/fleet/orders.ts
+++ b/packages/fleet/orders.ts
@@ -9,7 +9,7 @@
 import type * as client from "./client.ts";
 
 /** Maximum delivery time of an order, in ms. The next lease holder waits this long before it sends. */
-export const ORDER_FLIGHT_MS = 2_500;
+export const MAX_ORDER_DELIVERY_MS = 2_500;
 
 /** Stored order of a pool. */
 export interface OrderIntent {
@@ -19,7 +19,7 @@
   readonly orderId: string;
 }
 
-/** Options of {@link sendDesired}. */
+/** Options of {@link sendDesiredCount}. */
 export interface SendDesiredOptions {
   readonly store: store.KeyValueClient;
   readonly fleet: client.FleetClient;
@@ -40,7 +40,7 @@
  * @example
  * const outcome = await sendDesired({ pool: "spot-a", count: 3 }, options);
  */
-export async function sendDesired(
+export async function sendDesiredCount(
   desired: core.DesiredCount,
   options: SendDesiredOptions,
 ): Promise<OrderOutcome> {
--- a/packages/fleet/orders_fuzz_test.ts
+++ b/packages/fleet/orders_fuzz_test.ts
@@ -120,7 +120,7 @@
       host: this.world.getName(host),
       incarnation: "1",
       terms: TERMS,
-      flightMs: fleet.ORDER_FLIGHT_MS,
+      flightMs: fleet.MAX_ORDER_DELIVERY_MS,
       isCandidate: () => true,
     });
   }
@@ -134,7 +134,7 @@
   }
 
   async #order(host: number, count: number): Promise<void> {
-    await fleet.sendDesired({ pool: `spot${count % 2}`, count }, {
+    await fleet.sendDesiredCount({ pool: `spot${count % 2}`, count }, {
       store: this.world.store.createClient(this.world.getName(host)),
       clock: this.world.clock,
       getLease: () => this.leases[host],
@@ -157,7 +157,7 @@
       1,
     );
     // Orders are lost after the maximum delivery time, on which the wait of the next leader relies.
-    if (this.world.now - pending.sentAt > fleet.ORDER_FLIGHT_MS) return;
+    if (this.world.now - pending.sentAt > fleet.MAX_ORDER_DELIVERY_MS) return;
     simulatedHosts.assertHolds(
       pending.order.fencingToken >= this.newestToken,
       "an order of an earlier leader arrived after an order of a later leader",
--- a/packages/operator/publish.ts
+++ b/packages/operator/publish.ts
@@ -4,7 +4,12 @@
 import * as utils from "@banyangrade/utils";
 
 /** Kinds of configuration parts that service files define. API keys are managed by a separate command. */
-export const OWNED_KINDS = ["class", "customer", "pool", "service"] as const;
+export const SERVICE_FILE_KINDS = [
+  "class",
+  "customer",
+  "pool",
+  "service",
+] as const;
 /** Maximum number of attempts to commit a change that conflicts with concurrent changes. */
 const MAX_COMMIT_ATTEMPTS = 5;
 
@@ -18,7 +23,7 @@
   | { readonly kind: "overtaken"; readonly by: core.ConfigChange };
 
 /**
- * Publishes the given parts, and removes published parts of {@link OWNED_KINDS}
+ * Publishes the given parts, and removes published parts of {@link SERVICE_FILE_KINDS}
  * that are not among them.
  *
  * @example
@@ -36,7 +41,7 @@
   const { configuration } = read.val;
   const difference = core.computeDifference(configuration, {
     wanted: options.parts,
-    owned: OWNED_KINDS,
+    owned: SERVICE_FILE_KINDS,
   });
   if (difference.puts.length + difference.removes.length === 0) {
     return utils.Ok({ kind: "unchanged", revision: configuration.revision });
@@ -63,7 +68,7 @@
  * @example
  * await commitAgain(client, { difference: { puts: [part], removes: [] }, author });
  */
-export async function commitAgain(
+export async function commitWithRetry(
   client: store.StoreClient,
   options: {
     readonly difference: core.ConfigDifference;
--- a/packages/peer/client.ts
+++ b/packages/peer/client.ts
@@ -73,7 +73,7 @@
       );
     } catch (thrown) {
       if (this.#connections.get(peer) === connection) this.#drop(peer);
-      const message = utils.readMessage(thrown);
+      const message = utils.getErrorMessage(thrown);
       return utils.Err(
         utils.createStepError("unknown_outcome", { step, peer, message }),
       );
--- a/packages/service/given_up_test.ts
+++ b/packages/service/abandoned_request_test.ts
@@ -31,11 +31,15 @@
     method: "POST",
     path: "/rooms/",
     headers: {},
-    body: Buffer.alloc(testing.BODY_OF_STALLED_BYTES, "x"),
+    body: Buffer.alloc(testing.STALLED_BODY_BYTES, "x"),
     stream: false,
     lastEventId: -1,
-    silence: { headMs: 5_000, betweenMs: 5_000, sharesServer: true },
-    readMarks: () => ({ requestId: "r1", notRun: false, genuine: true }),
+    inactivityLimits: { headMs: 5_000, betweenMs: 5_000, sharesServer: true },
+    readResponseMetadata: () => ({
+      requestId: "r1",
+      notRun: false,
+      genuine: true,
+    }),
     signal: new AbortController().signal,
     ...changes,
   }, { onEvents: () => undefined });
@@ -50,17 +54,17 @@
   await server.waitForRequest();
   abort.abort();
   t.same(await outcome, { kind: "aborted" });
-  t.ok(await server.readAll() < testing.BODY_OF_STALLED_BYTES);
+  t.ok(await server.readAll() < testing.STALLED_BODY_BYTES);
 });
 
 // Guards against a server that executes a request after it was retried on another
 // server. A network interruption delays the bytes that are already written.
 tap.test("a request that timed out does not reach its server later", async (t) => {
   const { server, pool } = await startServer(t);
-  const silence = { headMs: 100, betweenMs: 100, sharesServer: false };
-  const outcome = await sendCall(pool, { silence });
+  const inactivityLimits = { headMs: 100, betweenMs: 100, sharesServer: false };
+  const outcome = await sendCall(pool, { inactivityLimits });
   t.match(outcome, { kind: "failed", failure: "timeout" });
-  t.ok(await server.readAll() < testing.BODY_OF_STALLED_BYTES);
+  t.ok(await server.readAll() < testing.STALLED_BODY_BYTES);
 });
 
 // Guards against a server that executes a request after the sending host has
@@ -71,5 +75,5 @@
   await server.waitForRequest();
   await pool.destroy();
   t.match(await outcome, { kind: "failed", failure: "connection_lost" });
-  t.ok(await server.readAll() < testing.BODY_OF_STALLED_BYTES);
+  t.ok(await server.readAll() < testing.STALLED_BODY_BYTES);
 });
--- a/packages/service/client.ts
+++ b/packages/service/client.ts
@@ -19,7 +19,7 @@
 }
 
 /** A complete response. */
-export interface ServiceAnswer {
+export interface ServiceResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[]>>;
   readonly body: Buffer;
@@ -27,7 +27,7 @@
 
 /** Outcome of an attempt. */
 export type ServiceOutcome =
-  | { readonly kind: "whole"; readonly answer: ServiceAnswer }
+  | { readonly kind: "whole"; readonly answer: ServiceResponse }
   | { readonly kind: "failed"; readonly failure: core.AttemptFailure }
   | { readonly kind: "aborted" };
 
@@ -62,7 +62,7 @@
     return await readResponse(response, call);
   } catch (thrown) {
     if (call.signal.aborted) return { kind: "aborted" };
-    return { kind: "failed", failure: utils.classifyThrown(thrown) };
+    return { kind: "failed", failure: utils.classifyTransportError(thrown) };
   }
 }
 
--- a/packages/service/connections.ts
+++ b/packages/service/connections.ts
@@ -18,7 +18,7 @@
   /** Maximum number of connections, and thus of concurrent requests. */
   readonly limit: number;
   /** Whether an open connection is idle. */
-  readonly hasFree: () => boolean;
+  readonly hasIdleConnection: () => boolean;
   /** Records that the server sent data on one of the connections. */
   readonly recordReceived: () => void;
   /** Time since the server last sent data on any connection, in ms. */
@@ -51,7 +51,7 @@
   return {
     dispatcher: pool,
     limit: options.connections,
-    hasFree: () => pool.stats.free > 0,
+    hasIdleConnection: () => pool.stats.free > 0,
     recordReceived: () => {
       lastReceivedAt = clock.now();
     },
--- a/packages/service/forward.ts
+++ b/packages/service/forward.ts
@@ -8,10 +8,10 @@
 import * as utils from "@banyangrade/utils";
 import type * as connections from "./connections.ts";
 import * as eventSplitter from "./event_splitter.ts";
-import * as silenceWatch from "./silence_watch.ts";
+import * as inactivityWatch from "./inactivity_watch.ts";
 
 /** Metadata that the platform adds to the response headers. */
-export interface AnswerMarks {
+export interface ResponseMetadata {
   /** Request identifier that the server echoes. */
   readonly requestId: string | undefined;
   /** Whether the server states that it did not execute the request. */
@@ -35,16 +35,16 @@
   readonly stream: boolean;
   /** Identifier of the last event that the caller received; -1 if none. */
   readonly lastEventId: number;
-  readonly silence: silenceWatch.SilenceLimits;
-  readonly readMarks: (
+  readonly inactivityLimits: inactivityWatch.InactivityLimits;
+  readonly readResponseMetadata: (
     status: number,
     headers: Readonly<Record<string, string | string[] | undefined>>,
-  ) => AnswerMarks;
+  ) => ResponseMetadata;
   readonly signal: AbortSignal;
 }
 
 /** A complete response. */
-export interface ForwardedAnswer {
+export interface ForwardedResponse {
   readonly status: number;
   readonly headers: Headers;
   readonly body: Buffer;
@@ -64,23 +64,23 @@
   readonly count: number;
   readonly lastEventId: number;
   /** Status and headers of the response that contains the events. */
-  readonly head: Omit<ForwardedAnswer, "body">;
+  readonly head: Omit<ForwardedResponse, "body">;
 }
 
 /** Outcome of an attempt. */
 export type ForwardOutcome =
-  | { readonly kind: "whole"; readonly answer: ForwardedAnswer }
+  | { readonly kind: "whole"; readonly answer: ForwardedResponse }
   | {
     readonly kind: "streamed";
     readonly events: number;
     /** Status and headers of the response, for a stream without events. */
-    readonly head: Omit<ForwardedAnswer, "body">;
+    readonly head: Omit<ForwardedResponse, "body">;
   }
   | {
     readonly kind: "failed";
     readonly failure: core.AttemptFailure;
     /** Complete error response of the server, which is forwarded if there is no further attempt. */
-    readonly answer?: ForwardedAnswer;
+    readonly answer?: ForwardedResponse;
     readonly reason: string;
   }
   | { readonly kind: "aborted" };
@@ -98,7 +98,7 @@
   call: ForwardCall,
   sink: ForwardSink,
 ): Promise<ForwardOutcome> {
-  const watch = silenceWatch.watchInactivity(call);
+  const watch = inactivityWatch.watchInactivity(call);
   try {
     const response = await call.connections.dispatcher.request({
       method: call.method as undici.Dispatcher.HttpMethod,
@@ -118,8 +118,12 @@
       const reason = "The server sent no data within the inactivity limit.";
       return { kind: "failed", failure: "timeout", reason };
     }
-    const reason = utils.readMessage(thrown);
-    return { kind: "failed", failure: utils.classifyThrown(thrown), reason };
+    const reason = utils.getErrorMessage(thrown);
+    return {
+      kind: "failed",
+      failure: utils.classifyTransportError(thrown),
+      reason,
+    };
   } finally {
     watch.stop();
   }
@@ -156,7 +160,7 @@
 interface Exchange {
   readonly call: ForwardCall;
   readonly sink: ForwardSink;
-  readonly watch: silenceWatch.InactivityWatch;
+  readonly watch: inactivityWatch.InactivityWatch;
 }
 
 async function readResponse(
@@ -164,14 +168,14 @@
   { call, sink, watch }: Exchange,
 ): Promise<ForwardOutcome> {
   const { statusCode: status, headers } = response;
-  const marks = call.readMarks(status, headers);
+  const marks = call.readResponseMetadata(status, headers);
   const failure = findHeadFailure(response, { call, marks });
   if (failure !== undefined) {
     // Destroys the connection too, since further data on it belongs to no request.
     response.body.on("error", () => undefined).destroy();
     return { kind: "failed", ...failure };
   }
-  const forwardedHeaders = utils.dropHopHeaders(headers);
+  const forwardedHeaders = utils.removeHopByHopHeaders(headers);
   if (call.stream && status === 200) {
     return await readStream(response.body, {
       call,
@@ -194,7 +198,10 @@
 /** Returns the failure that the status and headers show regardless of the body; undefined if there is none. */
 function findHeadFailure(
   { statusCode, headers }: undici.Dispatcher.ResponseData,
-  { call, marks }: { readonly call: ForwardCall; readonly marks: AnswerMarks },
+  { call, marks }: {
+    readonly call: ForwardCall;
+    readonly marks: ResponseMetadata;
+  },
 ):
   | { readonly failure: core.AttemptFailure; readonly reason: string }
   | undefined {
@@ -232,7 +239,7 @@
 async function readStream(
   body: AsyncIterable<Buffer>,
   { call, sink, watch, head }: Exchange & {
-    readonly head: Omit<ForwardedAnswer, "body">;
+    readonly head: Omit<ForwardedResponse, "body">;
   },
 ): Promise<ForwardOutcome> {
   const splitter = new eventSplitter.EventSplitter(call.lastEventId);
--- a/packages/service/forward_test.ts
+++ b/packages/service/forward_test.ts
@@ -43,8 +43,8 @@
     body: Buffer.from("x"),
     stream: false,
     lastEventId: -1,
-    silence: { headMs: 2_000, betweenMs: 2_000, sharesServer: true },
-    readMarks: (_status, headers) => ({
+    inactivityLimits: { headMs: 2_000, betweenMs: 2_000, sharesServer: true },
+    readResponseMetadata: (_status, headers) => ({
       requestId: headers["x-id"] as string | undefined,
       notRun: headers["x-not-run"] !== undefined,
       genuine: headers["x-stamp"] !== undefined,
@@ -196,7 +196,7 @@
 // server stops responding, but the connection stays open.
 tap.test("an attempt at an unresponsive server times out", async (t) => {
   const { outcome } = await runAgainst(() => undefined, {
-    silence: SHORT_LIMITS,
+    inactivityLimits: SHORT_LIMITS,
   });
   t.match(outcome, { kind: "failed", failure: "timeout" });
 });
@@ -210,7 +210,7 @@
   });
   const otherTraffic = setInterval(() => server.pool.recordReceived(), 10);
   const outcome = await forward.forwardRequest(
-    buildCall(server.pool, { silence: SHORT_LIMITS }),
+    buildCall(server.pool, { inactivityLimits: SHORT_LIMITS }),
     { onEvents: () => undefined },
   );
   clearInterval(otherTraffic);
@@ -224,7 +224,7 @@
   const server = await startRawServer(() => undefined);
   const otherTraffic = setInterval(() => server.pool.recordReceived(), 10);
   const outcome = await forward.forwardRequest(
-    buildCall(server.pool, { silence: SHORT_LIMITS }),
+    buildCall(server.pool, { inactivityLimits: SHORT_LIMITS }),
     { onEvents: () => undefined },
   );
   clearInterval(otherTraffic);
--- a/packages/service/silence_watch.ts
+++ b/packages/service/inactivity_watch.ts
@@ -9,7 +9,7 @@
 import type * as connections from "./connections.ts";
 
 /** Inactivity limits of an attempt. Times in ms. */
-export interface SilenceLimits {
+export interface InactivityLimits {
   /** Longest wait for the response headers. */
   readonly headMs: number;
   /** Longest wait between two chunks of the response body. */
@@ -40,18 +40,18 @@
  * Starts the inactivity watch of an attempt.
  *
  * @example
- * const watch = watchInactivity({ connections, silence, signal });
+ * const watch = watchInactivity({ connections, inactivityLimits, signal });
  */
 export function watchInactivity(
-  { connections: server, silence, signal }: {
+  { connections: server, inactivityLimits, signal }: {
     readonly connections: connections.ServerConnections;
-    readonly silence: SilenceLimits;
+    readonly inactivityLimits: InactivityLimits;
     readonly signal: AbortSignal;
   },
 ): InactivityWatch {
   const timeoutController = new AbortController();
   let lastReceivedAt = performance.now();
-  let limitMs = silence.headMs;
+  let limitMs = inactivityLimits.headMs;
   let timer: NodeJS.Timeout;
 
   function scheduleCheck(ms: number): void {
@@ -61,7 +61,7 @@
   function checkInactivity(): void {
     const inactiveMs = performance.now() - lastReceivedAt;
     if (inactiveMs < limitMs) return scheduleCheck(limitMs - inactiveMs);
-    const serverActive = silence.sharesServer &&
+    const serverActive = inactivityLimits.sharesServer &&
       server.getInactiveMs() < limitMs;
     if (serverActive && inactiveMs < CONNECTION_LIMIT_FACTOR * limitMs) {
       return scheduleCheck(
@@ -76,7 +76,7 @@
     signal: AbortSignal.any([signal, timeoutController.signal]),
     recordReceived: () => {
       lastReceivedAt = performance.now();
-      limitMs = silence.betweenMs;
+      limitMs = inactivityLimits.betweenMs;
       server.recordReceived();
     },
     stop: () => clearTimeout(timer),
--- a/packages/service/mod.ts
+++ b/packages/service/mod.ts
@@ -3,4 +3,4 @@
 export * from "./connections.ts";
 export * from "./event_splitter.ts";
 export * from "./forward.ts";
-export * from "./silence_watch.ts";
+export * from "./inactivity_watch.ts";
--- a/packages/store/client.ts
+++ b/packages/store/client.ts
@@ -189,7 +189,7 @@
   return utils.createStepError(refused ? "unreachable" : "unknown_outcome", {
     step,
     peer: PEER,
-    message: utils.readMessage(thrown),
+    message: utils.getErrorMessage(thrown),
   });
 }
 
@@ -269,7 +269,7 @@
 function startWatch(pool: undici.Pool, options: WatchOptions): () => void {
   const abort = new AbortController();
   runWatch(pool, { ...options, signal: abort.signal })
-    .then(() => "The stream ended.", utils.readMessage)
+    .then(() => "The stream ended.", utils.getErrorMessage)
     .then((reason) => {
       if (!abort.signal.aborted) options.onEvent({ kind: "ended", reason });
     });
--- a/packages/store/client_test.ts
+++ b/packages/store/client_test.ts
@@ -14,8 +14,8 @@
     await client.close();
     server.close();
   });
-  const value = "x".repeat(testing.BODY_OF_STALLED_BYTES);
+  const value = "x".repeat(testing.STALLED_BODY_BYTES);
   const result = await client.swap({ key: "k", expected: 0, value });
   t.match(result, { err: true, val: { code: "unknown_outcome" } });
-  t.ok(await server.readAll() < testing.BODY_OF_STALLED_BYTES);
+  t.ok(await server.readAll() < testing.STALLED_BODY_BYTES);
 });
--- a/packages/usage/reporter.ts
+++ b/packages/usage/reporter.ts
@@ -14,7 +14,7 @@
 const RETAINED_WINDOWS = 10;
 
 /** Maximum delivery time of a report, in ms. The next lease holder waits this long before it sends. */
-export const REPORT_FLIGHT_MS = 2_500;
+export const MAX_REPORT_DELIVERY_MS = 2_500;
 
 /** Options of {@link reportWindows}. */
 export interface ReportOptions {
--- a/packages/usage/reporter_fuzz_test.ts
+++ b/packages/usage/reporter_fuzz_test.ts
@@ -195,7 +195,7 @@
       host: this.world.getName(host),
       incarnation: simHost.source,
       terms: TERMS,
-      flightMs: usage.REPORT_FLIGHT_MS,
+      flightMs: usage.MAX_REPORT_DELIVERY_MS,
       isCandidate: () => true,
     });
     simHost.lease = lease;
@@ -235,7 +235,7 @@
       next.pick % this.pendingReports.length,
       1,
     );
-    const late = this.world.now - pending.sentAt > usage.REPORT_FLIGHT_MS;
+    const late = this.world.now - pending.sentAt > usage.MAX_REPORT_DELIVERY_MS;
     pending.answer(next.answered && !late);
     if (late) return;
     simulatedHosts.assertHolds(
--- a/packages/utils/given_up_test.ts
+++ b/packages/utils/abandoned_request_test.ts
@@ -7,7 +7,7 @@
 
 const tap = tapModule.default;
 
-const BODY = "x".repeat(testing.BODY_OF_STALLED_BYTES);
+const BODY = "x".repeat(testing.STALLED_BODY_BYTES);
 
 // Guards against an order that is executed after newer orders. Its call timed out,
 // but a network interruption delayed the bytes that were already written.
@@ -23,7 +23,7 @@
     timeoutMs: 200,
   });
   t.match(answer, { err: true, val: { code: "unknown_outcome" } });
-  t.ok(await server.readAll() < testing.BODY_OF_STALLED_BYTES);
+  t.ok(await server.readAll() < testing.STALLED_BODY_BYTES);
 });
 
 // Guards against a server that executes a request after its caller disconnected.
@@ -42,5 +42,5 @@
     signal: AbortSignal.timeout(200),
   });
   await t.rejects(sent);
-  t.ok(await server.readAll() < testing.BODY_OF_STALLED_BYTES);
+  t.ok(await server.readAll() < testing.STALLED_BODY_BYTES);
 });
--- a/packages/utils/backend.ts
+++ b/packages/utils/backend.ts
@@ -35,7 +35,7 @@
  * @example
  * classifyThrown(error); // "connection_lost"
  */
-export function classifyThrown(thrown: unknown): TransportFailure {
+export function classifyTransportError(thrown: unknown): TransportFailure {
   const code = (thrown as { code?: string }).code ?? "";
   if (NOT_SENT_CODES.has(code)) return "not_sent";
   return TIMEOUT_CODES.has(code) ? "timeout" : "connection_lost";
@@ -112,7 +112,7 @@
  * @example
  * const headers = dropHopHeaders(request.headers, new Set(["x-tenant"]));
  */
-export function dropHopHeaders(
+export function removeHopByHopHeaders(
   headers: Readonly<Record<string, string | string[] | undefined>>,
   reserved: ReadonlySet<string> = new Set(),
 ): Record<string, string | string[]> {
--- a/packages/utils/clock.ts
+++ b/packages/utils/clock.ts
@@ -56,7 +56,7 @@
  * @example
  * await waitForReads();
  */
-export async function waitForReads(): Promise<void> {
+export async function waitForSocketPoll(): Promise<void> {
   // The first callback may run before the poll phase of the event loop, the second runs after it.
   await timers.setImmediate();
   await timers.setImmediate();
--- a/packages/utils/errors.ts
+++ b/packages/utils/errors.ts
@@ -50,6 +50,6 @@
  * @example
  * readMessage(new Error("no")); // "no"
  */
-export function readMessage(thrown: unknown): string {
+export function getErrorMessage(thrown: unknown): string {
   return thrown instanceof Error ? thrown.message : String(thrown);
 }
--- a/packages/utils/json_client.ts
+++ b/packages/utils/json_client.ts
@@ -51,9 +51,9 @@
       message: `Status ${answer.statusCode}: ${text.slice(0, 500)}`,
     }));
   } catch (thrown) {
-    const failure = backend.classifyThrown(thrown);
+    const failure = backend.classifyTransportError(thrown);
     const code = failure === "not_sent" ? "unreachable" : "unknown_outcome";
-    const message = errors.readMessage(thrown);
+    const message = errors.getErrorMessage(thrown);
     return result.Err(errors.createStepError(code, { step, peer, message }));
   }
 }
--- a/packages/utils/testing.ts
+++ b/packages/utils/testing.ts
@@ -20,7 +20,7 @@
 }
 
 /** Body size in bytes that exceeds the receive buffer of a connection. */
-export const BODY_OF_STALLED_BYTES = 1_000_000;
+export const STALLED_BODY_BYTES = 1_000_000;
 
 /** A server that reads from its connections only on request. */
 export interface StalledServer {
@@ -32,7 +32,7 @@
   readonly close: () => void;
 }
 
-/** Wait until a request of {@link BODY_OF_STALLED_BYTES} has been written to the kernel, in ms. */
+/** Wait until a request of {@link STALLED_BODY_BYTES} has been written to the kernel, in ms. */
 const WRITE_WAIT_MS = 50;
 
 /**
--- a/packages/utils/toml_file.ts
+++ b/packages/utils/toml_file.ts
@@ -36,7 +36,7 @@
       file,
       line: 0,
       option: "",
-      message: errors.readMessage(thrown),
+      message: errors.getErrorMessage(thrown),
       remedy: "Give the path of a file that can be read.",
     }]);
   }
@@ -74,7 +74,7 @@
     return result.Ok(toml.parse(text) as unknown);
   } catch (thrown) {
     const line = thrown instanceof toml.TomlError ? thrown.line : 0;
-    const message = errors.readMessage(thrown).split("\n")[0];
+    const message = errors.getErrorMessage(thrown).split("\n")[0];
     const remedy = "Correct the TOML syntax; strings must be in double quotes.";
     return result.Err([{ file, line, option: "", message, remedy }]);
   }
--- a/playground/cluster.ts
+++ b/playground/cluster.ts
@@ -10,7 +10,7 @@
 import * as toml from "smol-toml";
 import type * as core from "@banyangrade/core";
 import * as engineFake from "@banyangrade/engine/fake.ts";
-import type * as engineModel from "@banyangrade/engine/model.ts";
+import type * as engineModel from "@banyangrade/engine/latency_model.js";
 import * as fleetFake from "@banyangrade/fleet/fake.ts";
 import * as serviceFake from "@banyangrade/service/fake.ts";
 import * as storeFake from "@banyangrade/store/fake.ts";
@@ -31,7 +31,7 @@
   /** Folder of the service files to publish. */
   readonly serviceFiles: string;
   /** Capacity and timing of the fake engines. */
-  readonly engineParameters?: engineModel.EngineShape;
+  readonly engineParameters?: engineModel.EngineParameters;
   readonly windowSeconds?: number;
   readonly leaseSeconds?: number;
   readonly offlineSeconds?: number;
--- a/scripts/mutations.ts
+++ b/scripts/mutations.ts
@@ -22,7 +22,7 @@
 const OVERFLOW = "packages/core/overflow_test.ts";
 const ROUTING = "packages/core/routing_test.ts";
 const DISPATCHER = "packages/core/dispatcher_fuzz_test.ts";
-const ABANDONED = "packages/service/given_up_test.ts";
+const ABANDONED = "packages/service/abandoned_request_test.ts";
 const CALLERS_LEFT = "platform/callers_left_test.ts";
 
 /** All mutations. */
