--- a/packages/banyangrade/keys_test.ts
+++ b/packages/banyangrade/keys_test.ts
@@ -85,7 +85,7 @@
     // Rosenheim forward it to them.
     const key = await createKey();
     cluster.store.setDisconnected(
-      cluster.storeWays.get("weilheim") ?? "",
+      cluster.storeUrls.get("weilheim") ?? "",
       true,
     );
     t.notOk(await isRefused(cluster.hosts[2], key), "the host still serves");
@@ -98,7 +98,7 @@
       ),
     );
     cluster.store.setDisconnected(
-      cluster.storeWays.get("weilheim") ?? "",
+      cluster.storeUrls.get("weilheim") ?? "",
       false,
     );
   });
--- a/packages/banyangrade/partition_test.ts
+++ b/packages/banyangrade/partition_test.ts
@@ -9,7 +9,7 @@
     engines: ["weilheim-engines"],
     services: ["rosenheim-rooms", "weilheim-rooms"],
     serviceFiles: testing.SERVICES,
-    cuttable: true,
+    usesPeerForwarders: true,
   });
   t.teardown(cluster.close);
   const key = await cluster.createKey("studio-rosenheim", [
@@ -28,7 +28,7 @@
     cluster.services.flatMap((service) => service.ran)
       .filter((call) => call.body === "cut").length;
   const setPartitioned = (partitioned: boolean) =>
-    cluster.peerWays.forEach((way) => way.setCut(partitioned));
+    cluster.peerForwarders.forEach((way) => way.setDisconnected(partitioned));
   t.ok(
     await testing.waitUntil(async () =>
       (await sendChat(rosenheim)).status === 200
--- a/playground/cluster.ts
+++ b/playground/cluster.ts
@@ -39,7 +39,7 @@
    * Whether hosts reach each other through forwarders that can be disconnected.
    * @default false
    */
-  readonly cuttable?: boolean;
+  readonly usesPeerForwarders?: boolean;
   /**
    * Log level of the hosts, each of which logs to its own file.
    * @default "info"
@@ -67,7 +67,7 @@
    * URL of the store for each failure domain; each can be disconnected
    * separately.
    */
-  readonly storeWays: ReadonlyMap<string, string>;
+  readonly storeUrls: ReadonlyMap<string, string>;
   readonly fleet: fleetFake.FakeFleet;
   readonly usage: usageFake.FakeUsage;
   readonly engines: readonly engineFake.FakeEngine[];
@@ -77,7 +77,7 @@
    * The forwarder in front of the peer port of each host; empty if hosts
    * connect directly.
    */
-  readonly peerWays: readonly forwarder.Forwarder[];
+  readonly peerForwarders: readonly forwarder.Forwarder[];
   /** Starts a new process for a host with the same name and addresses. */
   readonly restartHost: (index: number) => Promise<void>;
   /** Runs an operator command and returns its exit code and output. */
@@ -122,14 +122,14 @@
   fs.writeFileSync(secretFile, `${utils.createId()}\n`, { mode: 0o600 });
   const fakes = await startFakes(options);
   const planned = await planHosts(options.hosts);
-  const peerWays = options.cuttable === true
+  const peerForwarders = options.usesPeerForwarders === true
     ? await Promise.all(
       planned.map((plan) => forwarder.startForwarder(plan.peer)),
     )
     : [];
   const plans = planned.map((plan, index) => ({
     ...plan,
-    advertised: peerWays[index]?.port ?? plan.peer,
+    advertised: peerForwarders[index]?.port ?? plan.peer,
   }));
   const settingsFiles = plans.map((plan) =>
     writeSettings(plan, { plans, folder, secretFile, fakes, options })
@@ -168,7 +168,7 @@
     operatorFile,
     ...fakes,
     hosts,
-    peerWays,
+    peerForwarders,
     restartHost: async (index) => {
       hosts[index] = spawnHost(plans[index], {
         folder,
@@ -189,7 +189,9 @@
     },
     close: async () => {
       hosts.forEach((host) => host.child.kill("SIGKILL"));
-      await Promise.all(peerWays.map((peerForwarder) => peerForwarder.close()));
+      await Promise.all(
+        peerForwarders.map((peerForwarder) => peerForwarder.close()),
+      );
       await fakes.close();
       fs.rmSync(folder, { recursive: true, force: true });
     },
@@ -222,7 +224,7 @@
 
 interface Fakes {
   readonly store: storeFake.FakeStore;
-  readonly storeWays: ReadonlyMap<string, string>;
+  readonly storeUrls: ReadonlyMap<string, string>;
   readonly fleet: fleetFake.FakeFleet;
   readonly usage: usageFake.FakeUsage;
   readonly engines: readonly engineFake.FakeEngine[];
@@ -233,7 +235,7 @@
 async function startFakes(options: ClusterOptions): Promise<Fakes> {
   const store = await storeFake.startFakeStore({});
   const domains = [...new Set(options.hosts)];
-  const storeWays = new Map(
+  const storeUrls = new Map(
     await Promise.all(
       domains.map(async (domain) =>
         [domain, await store.openListener()] as const
@@ -268,7 +270,7 @@
   const all = [store, fleet, usage, ...engines, ...services];
   return {
     store,
-    storeWays,
+    storeUrls,
     fleet,
     usage,
     engines,
@@ -325,7 +327,7 @@
       })),
     },
     platform: {
-      store_url: fakes.storeWays.get(plan.failureDomain) ?? "",
+      store_url: fakes.storeUrls.get(plan.failureDomain) ?? "",
       fleet_url: fakes.fleet.url,
       usage_url: fakes.usage.url,
     },
--- a/playground/forwarder.ts
+++ b/playground/forwarder.ts
@@ -10,7 +10,7 @@
    * With true, closes all connections and rejects new ones; with false, accepts
    * them again.
    */
-  readonly setCut: (cut: boolean) => void;
+  readonly setDisconnected: (cut: boolean) => void;
   readonly close: () => Promise<void>;
 }
 
@@ -42,7 +42,7 @@
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
   return {
     port: (server.address() as net.AddressInfo).port,
-    setCut: (cut) => {
+    setDisconnected: (cut) => {
       isCut = cut;
       if (cut) closeAll();
     },
