--- a/scripts/check_style.ts
+++ b/scripts/check_style.ts
@@ -13,19 +13,21 @@
  * them.
  */
 const VERBS: ReadonlySet<string> = new Set(
-  ("abandon accept acknowledge acquire add admit advance allocate allow answer " +
-    "add after append apply arrive ask assert await begin build bundle call cancel carry check choose claim " +
-    "classify clear close collect commit compact compare complete compute " +
-    "confirm connect copy count crash create decide decode defend deliver describe dispatch " +
-    "divide drain draw drop eject encode end estimate exceeds expire explain export fail fetch " +
-    "fill filter find finish fix flush forget format forward freeze generate get give go grant handle " +
-    "has hash hold index inspect is issue join keep leave list listen load make " +
-    "mark may measure merge move must needs normalize note notify obey open order parse pass peek pick plan " +
-    "poll postpone preempt prefill print publish pull push put queue quote rank read recognise record " +
-    "refuse release remove render renew repeat replay report requeue resolve restart return revoke route " +
-    "run save scale schedule score seal select send separate serve set settle shed shorten show shuffle simulate sleep spawn " +
-    "split spread spread start step stop store sum suspect suggest swap take tell thaw tick tidy to " +
-    "touch try update use verify wait walk watch with withdraw work write")
+  ("abandon accept acknowledge acquire add admit advance after allocate " +
+    "answer append apply arrive ask assert build bundle call cancel check " +
+    "choose classify clear close collect commit compact compare complete " +
+    "compute confirm connect copy count crash create decide decode deliver " +
+    "describe dispatch divide drain draw drop eject encode end estimate " +
+    "exceeds expire explain fail fetch filter find finish fix flush forget " +
+    "format forward freeze get grant handle has hash hold index inspect is " +
+    "issue keep leave list listen load make mark may measure merge notify " +
+    "open order parse peek pick plan poll postpone preempt prefill print " +
+    "publish pull push put rank read recognise record refuse release remove " +
+    "render renew repeat replay report requeue resolve restart revoke run " +
+    "schedule score select send separate serve set settle shed shorten show " +
+    "simulate spawn split spread start step stop suggest sum swap take thaw " +
+    "tick tidy to touch try update use verify wait walk watch with withdraw " +
+    "work write")
     .split(" "),
 );
 
