--- a/packages/banyangrade/dispatch_task.ts
+++ b/packages/banyangrade/dispatch_task.ts
@@ -124,7 +124,7 @@
     return this.#options.dispatcher.countPendingPrefill();
   }
 
-  /** Applies the division of a service's engines among the hosts. */
+  /** Sets how the engines of a service are divided between short and long prompts. */
   setDivision(target: string, division: core.EngineDivision): void {
     this.#options.dispatcher.setDivision(target, division);
   }
--- a/packages/banyangrade/gateway/attempt_request.ts
+++ b/packages/banyangrade/gateway/attempt_request.ts
@@ -30,7 +30,7 @@
  * remains until its deadline.
  *
  * @example
- * const message = buildAttempt({ exchange, wire, server, attempt: 1, lastEventId: -1, now });
+ * const message = buildAttemptRequest({ exchange, wire, server, attempt: 1, lastEventId: -1, now });
  */
 export function buildAttemptRequest(options: AttemptOptions): AttemptRequest {
   const { exchange, wire, server, source, lastEventId, now } = options;
--- a/packages/banyangrade/gateway/gateway_host.ts
+++ b/packages/banyangrade/gateway/gateway_host.ts
@@ -26,7 +26,7 @@
  * Starts a host.
  *
  * @example
- * const host = await startRoutedHost({ settings, platform, log, clock });
+ * const host = await startGatewayHost({ settings, platform, log, clock });
  */
 export async function startGatewayHost(
   options: gatewayParts.GatewayHostOptions,
--- a/packages/banyangrade/gateway/gateway_parts.ts
+++ b/packages/banyangrade/gateway/gateway_parts.ts
@@ -77,7 +77,7 @@
  * Builds all components without starting them.
  *
  * @example
- * const parts = buildRoutedParts({ settings, platform, log, clock });
+ * const parts = buildGatewayParts({ settings, platform, log, clock });
  */
 export function buildGatewayParts(options: GatewayHostOptions): GatewayParts {
   const draft = buildBase(options) as Draft;
--- a/packages/banyangrade/gateway/host_updates.ts
+++ b/packages/banyangrade/gateway/host_updates.ts
@@ -79,7 +79,7 @@
  * Applies the summary of all other hosts.
  *
  * @example
- * applyOthers(parts, summary);
+ * applyHostsSummary(parts, summary);
  */
 export function applyHostsSummary(
   { budget, clock, clocks, dispatch, log, pools }: Parts,
--- a/packages/banyangrade/gateway/ingress.ts
+++ b/packages/banyangrade/gateway/ingress.ts
@@ -81,7 +81,7 @@
  * Starts the HTTP server for callers.
  *
  * @example
- * const ingress = await startIngress({ hostname, port, onRequest, isLeaving });
+ * const ingress = await startIngress({ hostname, port, onRequest, closesConnections });
  */
 export async function startIngress(options: IngressOptions): Promise<Ingress> {
   const server = http.createServer({
--- a/packages/banyangrade/usage_task.ts
+++ b/packages/banyangrade/usage_task.ts
@@ -1,6 +1,6 @@
 /**
  * Records this host's usage and sends it in batches to the host that reports for the
- * failure domain and to one replica. Batches are kept until a fixed window counts them.
+ * failure domain and to one replica. Batches are kept until a final window counts them.
  */
 import * as core from "@banyangrade/core";
 import type * as peer from "@banyangrade/peer";
@@ -74,7 +74,7 @@
   }
 
   /**
-   * Stops the task. Batches that are not yet in a fixed window are sent to the reporter
+   * Stops the task. Batches that are not yet in a final window are sent to the reporter
    * and other hosts, so that the next reporter can count them.
    */
   async stop(): Promise<void> {
@@ -92,7 +92,7 @@
     );
   }
 
-  /** Whether all usage of this host is counted in fixed windows. */
+  /** Whether all usage of this host is counted in final windows. */
   isSettled(): boolean {
     return this.#ledger.isSettled();
   }
--- a/packages/core/admission_estimates.ts
+++ b/packages/core/admission_estimates.ts
@@ -103,7 +103,7 @@
  * lack of capacity.
  *
  * @example
- * hasLowerWork(request.tier, pools);
+ * hasLowerTierWorkElsewhere(request.tier, pools);
  */
 export function hasLowerTierWorkElsewhere(
   tier: number,
--- a/packages/core/cold_permits.ts
+++ b/packages/core/cold_permits.ts
@@ -8,8 +8,8 @@
  * number of hosts, not what each of them sends. Each request goes to a randomly
  * drawn cold server, so no server gets much more than its share.
  *
- * Load pattern: the servers of a failure domain come back together, cold and
- * idle, and all of about eighty hosts see them as the least loaded at once.
+ * Guards against overload when the servers of a failure domain come back together,
+ * cold and idle, and all of about eighty hosts see them as the least loaded at once.
  */
 import type * as utils from "@banyangrade/utils";
 
--- a/packages/core/config_log.ts
+++ b/packages/core/config_log.ts
@@ -84,7 +84,7 @@
   return next;
 }
 
-/** A complete configuration in serializable form. */
+/** A complete configuration in serialisable form. */
 export interface ConfigSnapshot {
   readonly revision: number;
   readonly digest: string;
--- a/packages/core/domain_failure_detector.ts
+++ b/packages/core/domain_failure_detector.ts
@@ -1,7 +1,7 @@
 /**
  * Detects failure domains that have become unreachable as a whole.
  *
- * Load pattern: the network to a failure domain fails while its servers carry
+ * Handles a failure of the network to a failure domain while its servers carry
  * their share of the load. Without this detection, each server would be ejected
  * separately, after some requests had timed out at it; with twenty servers this
  * would take longer than the network failure lasts.
@@ -53,7 +53,7 @@
  * in use in another failure domain stay in use.
  *
  * @example
- * abandonDomain(table.listServers(), { failureDomain: "rosenheim", now });
+ * ejectDomain(table.listServers(), { failureDomain: "rosenheim", now });
  */
 export function ejectDomain(
   servers: readonly serverState.ServerState[],
--- a/packages/core/engine_choice.ts
+++ b/packages/core/engine_choice.ts
@@ -105,7 +105,7 @@
 /**
  * Chooses an engine for a request; returns undefined if no engine is usable.
  *
- * Load pattern: prompts with a long common prefix arrive every ten seconds, and
+ * Handles prompts with a long common prefix that arrive every ten seconds while
  * their engine is busy, was reclaimed, or has just started. Fetching the cached
  * prefix from another engine takes a fraction of the time of prefilling it again,
  * which would also delay other streams.
@@ -167,8 +167,8 @@
  * Chooses at random among the engines with the least load from this host, and
  * prefers those with an idle connection.
  *
- * Load pattern: sixty hosts with a few requests each have no requests on most
- * engines. If every host took the first of several equal engines, that engine would
+ * Guards against hosts choosing the same engine: each of sixty hosts with a few
+ * requests has no requests on most engines. If every host took the first of several equal engines, that engine would
  * get several times the mean load. The statuses of the other hosts are up to a
  * second old and equal on all hosts. If every host took the least loaded engine by
  * these statuses, all hosts would take the same engine until the next status. The
--- a/packages/core/engine_division.ts
+++ b/packages/core/engine_division.ts
@@ -2,8 +2,8 @@
  * Decides whether engines are divided between short and long prompts, and in
  * which ratio.
  *
- * Load pattern: short prompts with strict limits on the gaps between tokens, along
- * with a series of long prompts. If engines prefill slowly or in large chunks,
+ * Handles short prompts with strict limits on the gaps between tokens that arrive
+ * along with a series of long prompts. If engines prefill slowly or in large chunks,
  * each long prompt delays the tokens of all streams on the same engine, so short
  * and long prompts get separate engines. If the gaps stay within their limits, all
  * engines take both kinds, because a division would leave some engines idle while
@@ -63,7 +63,7 @@
  * some engines, which would then get prompts of both kinds.
  *
  * @example
- * const division = decideDivision({ demand, engines: 20, slots: 16 }, DIVISION_AT_FIRST);
+ * const division = decideDivision({ demand, engines: 20, slots: 16 }, INITIAL_DIVISION);
  */
 export function decideDivision(
   engineDemand: EngineDemand,
@@ -91,7 +91,7 @@
 /**
  * Computes the share of the engines for short prompts.
  *
- * Load pattern: a burst of long prompts beyond the capacity of all engines. In
+ * Handles a burst of long prompts beyond the capacity of all engines. In
  * proportion to the demand, short prompts would get a tenth of the engines and
  * fail as well, although they need few. They get what they need first, up to half
  * of the engines.
@@ -117,7 +117,7 @@
  * engines take both kinds.
  *
  * @example
- * const engineNames = listShortPromptEngines(engines, { kind: "mixed" }); // undefined
+ * const shortPromptEngines = listShortPromptEngines(engines, { kind: "mixed" }); // undefined
  */
 export function listShortPromptEngines(
   engines: readonly RankedEngine[],
--- a/packages/core/evacuations.ts
+++ b/packages/core/evacuations.ts
@@ -2,8 +2,8 @@
  * Failure domains that operators have evacuated: hosts send no work to their
  * backend servers until the evacuation ends.
  *
- * Load pattern: all servers of a failure domain stop taking work within one
- * second while traffic goes on everywhere, and come back together, cold.
+ * Handles a whole failure domain whose servers all stop taking work within one
+ * second while traffic goes on everywhere, and later come back together, cold.
  */
 
 /** The evacuation state of a failure domain, as an operator set it at a store revision. */
--- a/packages/core/host_state.ts
+++ b/packages/core/host_state.ts
@@ -150,7 +150,7 @@
  * Whether a request has waited so long that work of lower tiers is preempted for it.
  *
  * @example
- * isLate(state, request);
+ * isPreemptionDue(state, request);
  */
 export function isPreemptionDue(
   state: HostState,
--- a/packages/core/host_statuses.ts
+++ b/packages/core/host_statuses.ts
@@ -186,7 +186,7 @@
  * clock readings once they are too old to be valid.
  *
  * @example
- * dropOldWork(summary, 4_000).running; // {}
+ * dropStaleLoad(summary, 4_000).running; // {}
  */
 export function dropStaleLoad(
   summary: HostsSummary,
--- a/packages/core/overflow.ts
+++ b/packages/core/overflow.ts
@@ -109,7 +109,7 @@
  * Whether this failure domain has any backend server for a request, busy or not.
  *
  * @example
- * hasNear(state, request);
+ * hasLocalServer(state, request);
  */
 export function hasLocalServer(
   state: hostState.HostState,
--- a/packages/core/partition.ts
+++ b/packages/core/partition.ts
@@ -19,7 +19,7 @@
  * result omits servers without a preferred slot of this host.
  *
  * @example
- * computeHomeSlots(servers, { hosts: ["a", "b"], host: "a" }); // Map { "s1" => 8 }
+ * computePreferredSlots(servers, { hosts: ["a", "b"], host: "a" }); // Map { "s1" => 8 }
  */
 export function computePreferredSlots(
   servers: readonly SlottedServer[],
--- a/packages/core/prefill_averages.ts
+++ b/packages/core/prefill_averages.ts
@@ -5,7 +5,7 @@
  * busy half of the time has less than one such request on average, and at an
  * overloaded engine the number keeps growing.
  *
- * Load pattern: a burst of long prompts. The slots stay nearly empty while the
+ * Handles a burst of long prompts, in which the slots stay nearly empty while the
  * prompts queue up in the engines.
  */
 
--- a/packages/core/refusals.ts
+++ b/packages/core/refusals.ts
@@ -13,7 +13,7 @@
   overloaded:
     "The request could not start within the target of its class; retry later.",
   deadline_exceeded:
-    "The request waited for the longest time that its class allows; check whether it ran before retrying.",
+    'The request waited for the longest time that its class allows; retry only if the field ran is "no" or the request is idempotent.',
   no_capacity:
     "No backend server for this model or service is available; retry later.",
   draining: "This host is shutting down; send the request to another host.",
@@ -25,7 +25,7 @@
   store_unavailable:
     "The operation cannot be claimed because the store is unavailable; retry with the same idempotency key.",
   backend_failed:
-    "The backend server failed; check whether the request ran before retrying.",
+    'The backend server failed; retry only if the field ran is "no" or the request is idempotent.',
   cancelled: "The caller disconnected or cancelled the request.",
 };
 
@@ -83,7 +83,7 @@
  * would repeat the operation under a new key.
  *
  * @example
- * const refusal = clearUnproven(buildKeyRefusal("not_authenticated"));
+ * const refusal = markRanUnknown(buildKeyRefusal("not_authenticated"));
  */
 export function markRanUnknown(refusal: request.Refusal): request.Refusal {
   if (refusal.ran !== "no" || MALFORMED_CODES.has(refusal.code)) return refusal;
--- a/packages/core/routes.ts
+++ b/packages/core/routes.ts
@@ -70,7 +70,7 @@
   readonly domainPrices: ReadonlyMap<string, number>;
 }
 
-/** Configured cold-start behavior of a service's backend servers. */
+/** Configured cold-start behaviour of a service's backend servers. */
 export interface ServiceColdStart {
   /** Time after its start for which a server is cold, in ms. */
   readonly startMs: number;
@@ -242,7 +242,7 @@
  * regions.
  *
  * @example
- * listHomes({ route, grant, regions }); // ["rosenheim", "weilheim"]
+ * listAllowedDomains({ route, customer, regions }); // ["rosenheim", "weilheim"]
  */
 export function listAllowedDomains(
   { route, customer: grant, regions }: {
--- a/packages/core/server_eligibility.ts
+++ b/packages/core/server_eligibility.ts
@@ -16,7 +16,7 @@
  * so other requests are not quarantined together with a poison request.
  *
  * @example
- * servers.filter((server) => isFit(server, { now, suspect: false }));
+ * servers.filter((server) => isEligible(server, { now, suspect: false }));
  */
 export function isEligible(
   server: serverState.ServerState,
@@ -30,7 +30,7 @@
  * Counts the requests of this host in tiers above `tier` that a server is running.
  *
  * @example
- * countHigher(server, 2);
+ * countHigherTiers(server, 2);
  */
 export function countHigherTiers(
   server: serverState.ServerState,
@@ -47,7 +47,7 @@
  * guaranteed slots.
  *
  * @example
- * isWithinTurn(pool, { request, options });
+ * isWithinGuarantee(pool, { request, options });
  */
 export function isWithinGuarantee(
   pool: serverState.PoolState,
--- a/packages/core/server_state.ts
+++ b/packages/core/server_state.ts
@@ -180,7 +180,7 @@
  * Ejects a server: it gets no requests until the given time, then starts slowly.
  *
  * @example
- * withdrawServer(server, now + constants.EJECT_MS);
+ * ejectServer(server, now + constants.EJECT_MS);
  */
 export function ejectServer(server: ServerState, until: number): void {
   server.ejectedUntil = until;
@@ -193,7 +193,7 @@
  * answers under its name has just started.
  *
  * @example
- * abandonServer(server, now + constants.EJECT_MS);
+ * ejectUnreachableServer(server, now + constants.EJECT_MS);
  */
 export function ejectUnreachableServer(
   server: ServerState,
--- a/packages/core/window_counts.ts
+++ b/packages/core/window_counts.ts
@@ -100,7 +100,7 @@
  * requests that count.
  *
  * @example
- * findLastWindow({ now, publishedAt, windowMs: 5_000, ...times });
+ * findNewestFinalWindow({ now, publishedAt, windowMs: 5_000, ...times });
  */
 export function findNewestFinalWindow(times: WindowTimes): number {
   const { now, windowMs } = times;
