--- a/packages/core/attempt_end.ts
+++ b/packages/core/attempt_end.ts
@@ -230,8 +230,8 @@
 }
 
 /**
- * Refuses the queued requests whose fingerprint is quarantined or held, and moves
- * the remaining suspects to lanes of their own.
+ * Refuses the queued requests whose fingerprint is quarantined or which another
+ * host may be retrying, and moves the remaining suspects to lanes of their own.
  *
  * @example
  * separateSuspects(state, marks);
@@ -260,7 +260,7 @@
 }
 
 /**
- * Drops a request whose caller has left, queued or running.
+ * Drops a request whose caller has disconnected, queued or running.
  *
  * @example
  * cancelRequest(state, requestId);
@@ -329,7 +329,7 @@
 
 /**
  * Preempts an attempt for a request of a higher tier, and queues its request to
- * resume at the offset reached.
+ * resume after the tokens that the caller already has.
  *
  * @example
  * preemptAttempt(state, victim);
--- a/packages/core/engine_choice.ts
+++ b/packages/core/engine_choice.ts
@@ -167,12 +167,13 @@
  * Chooses at random among the engines with the least load from this host, and
  * prefers those with an idle connection.
  *
- * Guards against hosts choosing the same engine: each of sixty hosts with a few
- * requests has no requests on most engines. If every host took the first of several equal engines, that engine would
- * get several times the mean load. The statuses of the other hosts are up to a
- * second old and equal on all hosts. If every host took the least loaded engine by
- * these statuses, all hosts would take the same engine until the next status. The
- * statuses are therefore used only to exclude overloaded engines.
+ * Guards against many hosts choosing the same engine. Each of sixty hosts with a
+ * few requests has no requests on most engines. If every host took the first of
+ * several equal engines, that engine would get several times the mean load. The
+ * statuses of the other hosts are up to a second old and equal on all hosts. If
+ * every host took the least loaded engine by these statuses, all hosts would take
+ * the same engine until the next status. The statuses are therefore used only to
+ * exclude overloaded engines.
  */
 function chooseLeastLoaded(
   engines: readonly EngineView[],
--- a/packages/core/host_state.ts
+++ b/packages/core/host_state.ts
@@ -68,7 +68,7 @@
   readonly pauses: pauses.TokenPauseCounter;
   /** Unresponsive servers of other failure domains. */
   readonly domainFailures: domainFailureDetector.DomainFailureDetector;
-  /** When this host may send a request to a cold server. */
+  /** Permits of this host to send requests to cold servers. */
   readonly coldPermits: coldPermits.ColdServerPermits;
   readonly router: router.Router;
 }
@@ -82,7 +82,7 @@
 export function createHostState(options: HostStateOptions): HostState {
   const table = new servers.ServerTable(options);
   const prompts = new engineChoice.PromptLengths();
-  const turns = new coldPermits.ColdServerPermits(options);
+  const permits = new coldPermits.ColdServerPermits(options);
   return {
     now: 0,
     effects: [],
@@ -103,11 +103,11 @@
     reading: new reading.PrefillAverages(),
     pauses: new pauses.TokenPauseCounter(),
     domainFailures: new domainFailureDetector.DomainFailureDetector(),
-    coldPermits: turns,
+    coldPermits: permits,
     router: new router.Router({
       table,
       prompts,
-      coldPermits: turns,
+      coldPermits: permits,
       ...options,
     }),
   };
@@ -136,8 +136,8 @@
 }
 
 /**
- * Returns the key under which the length and service time of such requests are
- * estimated.
+ * Returns the key under which the length and service time of requests like this one
+ * are estimated.
  *
  * @example
  * state.lengths.get(getEstimateKey(request)).tokens;
--- a/packages/core/quarantine.ts
+++ b/packages/core/quarantine.ts
@@ -16,7 +16,7 @@
 interface Suspect {
   /** Servers that were lost while the request was in flight there. */
   readonly servers: Set<string>;
-  /** Lost servers that are no evidence any more: the request has since completed, so their loss had another cause. */
+  /** Lost servers that no longer count: the request has since completed, so their loss had another cause. */
   readonly cleared: Set<string>;
   /** Time until which another host may be retrying the request, monotonic ms. */
   heldUntil: number;
--- a/packages/core/queue.ts
+++ b/packages/core/queue.ts
@@ -6,7 +6,7 @@
 import * as tinyqueue from "tinyqueue";
 import * as request from "./request.ts";
 
-/** A queued request, with what its earlier attempts left behind. */
+/** A queued request, with the results of its earlier attempts. */
 export interface QueuedRequest {
   readonly request: request.Request;
   /** Number of its next attempt; 1 for the first. */
