--- a/packages/banyangrade/authenticated_request.ts
+++ b/packages/banyangrade/authenticated_request.ts
@@ -1,4 +1,4 @@
-/** Callers' requests after authentication: their authorization, their refusal and the request that they become. */
+/** Callers' requests after authentication: their authorisation, their refusal and the request that they become. */
 import * as caller from "@banyangrade/caller";
 import * as core from "@banyangrade/core";
 import * as exchange from "./exchange.ts";
--- a/packages/banyangrade/caller_request_handler.ts
+++ b/packages/banyangrade/caller_request_handler.ts
@@ -1,4 +1,4 @@
-/** Authenticates and authorizes callers' HTTP requests and opens them at the dispatcher. */
+/** Authenticates and authorises callers' HTTP requests and opens them at the dispatcher. */
 import * as caller from "@banyangrade/caller";
 import * as core from "@banyangrade/core";
 import type * as peer from "@banyangrade/peer";
--- a/packages/banyangrade/gateway/host_status_task.ts
+++ b/packages/banyangrade/gateway/host_status_task.ts
@@ -137,7 +137,7 @@
     return this.#contacts.length + 1;
   }
 
-  /** Summarizes this host and its followers for other relays. */
+  /** Summarises this host and its followers for other relays. */
   getSummary(): core.HostsSummary {
     const sum = this.#statuses.sum(this.#options.clock.now());
     return { ...sum, ...this.#describeDivisions() };
@@ -214,7 +214,7 @@
   }
 
   /**
-   * Summarizes all hosts but one. Hosts of an unreachable failure domain still use
+   * Summarises all hosts but one. Hosts of an unreachable failure domain still use
    * their share of the retry budget and the connections, so they are counted as
    * long as their published statuses are current.
    */
