--- a/packages/caller/server.ts
+++ b/packages/caller/server.ts
@@ -238,7 +238,7 @@
  * be a retry of an earlier request with the same key.
  *
  * @example
- * if (isKeyedCall(head)) refusal = core.clearUnproven(refusal);
+ * if (isCallWithIdempotencyKey(head)) refusal = core.markRanUnknown(refusal);
  */
 export function isCallWithIdempotencyKey(
   head: Pick<CallerHead, "route" | "headers">,
@@ -306,7 +306,7 @@
  * Returns the headers that may be forwarded to a backend server.
  *
  * @example
- * const headers = keepHeaders(request.headers);
+ * const headers = getForwardableHeaders(request.headers);
  */
 export function getForwardableHeaders(
   headers: http.IncomingHttpHeaders,
--- a/packages/fleet/orders.ts
+++ b/packages/fleet/orders.ts
@@ -38,7 +38,7 @@
  * Stores the desired count of one pool and sends the order to the fleet API.
  *
  * @example
- * const outcome = await sendDesired({ pool: "spot-a", count: 3 }, options);
+ * const outcome = await sendDesiredCount({ pool: "spot-a", count: 3 }, options);
  */
 export async function sendDesiredCount(
   desired: core.DesiredCount,
--- a/packages/operator/publish.ts
+++ b/packages/operator/publish.ts
@@ -66,7 +66,7 @@
  * creation or withdrawal of a key.
  *
  * @example
- * await commitAgain(client, { difference: { puts: [part], removes: [] }, author });
+ * await commitWithRetry(client, { difference: { puts: [part], removes: [] }, author });
  */
 export async function commitWithRetry(
   client: store.StoreClient,
--- a/packages/store/prefix_cache_test.ts
+++ b/packages/store/prefix_cache_test.ts
@@ -26,7 +26,7 @@
 
 // Guards against a removed server that stays in use at one host: the server leaves
 // while the relay reads the list in full, and a follower that polls from a revision
-// before that read is told that nothing has changed.
+// before that read would get an empty list of changes.
 tap.test("changes from before a full read are reported as unknown", (t) => {
   const cache = new prefixCache.PrefixCache();
   cache.setAll({ entries: [buildEntry("a", 1)], revision: 5 }, 0);
--- a/packages/usage/client.ts
+++ b/packages/usage/client.ts
@@ -4,7 +4,7 @@
 
 /** Calls of the usage API. */
 export interface UsageClient {
-  /** Reports a finalized window. The call is idempotent: the same window with the same figures may be sent again. */
+  /** Reports a final window. The call is idempotent: the same window with the same figures may be sent again. */
   readonly report: (
     window: core.FinalWindow,
     fencingToken: number,
--- a/packages/usage/reporter.ts
+++ b/packages/usage/reporter.ts
@@ -1,5 +1,5 @@
 /**
- * Finalizes and reports usage windows on the host that holds the role. The figures
+ * Finalises and reports usage windows on the host that holds the role. The figures
  * of a window are stored before they are sent. The store accepts the record of a
  * window only once, so every host sends the same figures.
  */
@@ -8,7 +8,7 @@
 import * as utils from "@banyangrade/utils";
 import type * as client from "./client.ts";
 
-/** Maximum number of windows finalized in one round, so that a backlog after an outage does not delay the other steps of the round. */
+/** Maximum number of windows finalised in one round, so that a backlog after an outage does not delay the other steps of the round. */
 const MAX_WINDOWS_PER_ROUND = 20;
 /** Number of reported windows that the store retains. */
 const RETAINED_WINDOWS = 10;
@@ -39,7 +39,7 @@
   readonly error?: utils.StepError;
 }
 
-/** Stored record of a finalized window. */
+/** Stored record of a final window. */
 interface WindowRecord {
   readonly fixed: core.FinalWindow;
   readonly reported: boolean;
@@ -51,7 +51,7 @@
 }
 
 /**
- * Finalizes the windows whose grace period has ended and reports the unreported ones.
+ * Finalises the windows whose grace period has ended and reports the unreported ones.
  *
  * @example
  * const round = await reportWindows({ store, usage, collector, ...rest });
--- a/packages/usage/reporter_fuzz_test.ts
+++ b/packages/usage/reporter_fuzz_test.ts
@@ -1,4 +1,4 @@
-/** Fuzz test of usage reporting: windows are finalized once, and no usage is lost or counted twice. */
+/** Fuzz test of usage reporting: windows are finalised once, and no usage is lost or counted twice. */
 import * as fc from "fast-check";
 import * as tap from "tap";
 import * as core from "@banyangrade/core";
@@ -339,7 +339,7 @@
 tap.t.test(
   "a host that was frozen does not report after its lease has expired",
   async (t) => {
-    // Guards against two hosts that report the same window. Host 0 finalizes a window
+    // Guards against two hosts that report the same window. Host 0 finalises a window
     // and is frozen before it receives the store's response. Its lease expires, host
     // 1 acquires the role and reports more usage, then host 0 resumes.
     const harness = new Harness();
--- a/packages/utils/backend.ts
+++ b/packages/utils/backend.ts
@@ -33,7 +33,7 @@
  * as sent.
  *
  * @example
- * classifyThrown(error); // "connection_lost"
+ * classifyTransportError(error); // "connection_lost"
  */
 export function classifyTransportError(thrown: unknown): TransportFailure {
   const code = (thrown as { code?: string }).code ?? "";
@@ -110,7 +110,7 @@
  * and the headers in `reserved`.
  *
  * @example
- * const headers = dropHopHeaders(request.headers, new Set(["x-tenant"]));
+ * const headers = removeHopByHopHeaders(request.headers, new Set(["x-tenant"]));
  */
 export function removeHopByHopHeaders(
   headers: Readonly<Record<string, string | string[] | undefined>>,
--- a/packages/utils/clock.ts
+++ b/packages/utils/clock.ts
@@ -54,7 +54,7 @@
  * Waits until the event loop has polled its sockets once.
  *
  * @example
- * await waitForReads();
+ * await waitForSocketPoll();
  */
 export async function waitForSocketPoll(): Promise<void> {
   // The first callback may run before the poll phase of the event loop, the second runs after it.
--- a/packages/utils/errors.ts
+++ b/packages/utils/errors.ts
@@ -48,7 +48,7 @@
  * Returns the message of a thrown value of any type.
  *
  * @example
- * readMessage(new Error("no")); // "no"
+ * getErrorMessage(new Error("no")); // "no"
  */
 export function getErrorMessage(thrown: unknown): string {
   return thrown instanceof Error ? thrown.message : String(thrown);
--- a/scripts/mutations.ts
+++ b/scripts/mutations.ts
@@ -330,7 +330,7 @@
     name:
       "caller disconnects: a delayed host does not read its sockets once more",
     file: "packages/banyangrade/gateway/request_handler.ts",
-    find: "await utils.waitForReads();",
+    find: "await utils.waitForSocketPoll();",
     replace: "",
     test: CALLERS_LEFT,
   },
