--- a/packages/store/claims.ts
+++ b/packages/store/claims.ts
@@ -64,7 +64,7 @@
   /**
    * Retries the deletion of stale claims: claims whose creation had an unknown
    * outcome, so that the operation was never dispatched, and claims whose release
-   * failed. Until such a claim expires after a day, its callers are told that the
+   * failed. Until such a claim expires after a day, its callers learn only that the
    * operation may have run.
    */
   readonly releaseStale: () => Promise<void>;
--- a/packages/store/config_store_fuzz_test.ts
+++ b/packages/store/config_store_fuzz_test.ts
@@ -181,7 +181,7 @@
 });
 
 tap.t.test(
-  "an operator suspended during a compaction is not told that its change was committed",
+  "a change written at a compacted revision is not reported as committed",
   async (t) => {
     // Guards against a change that is reported as committed but that no host ever
     // applies: the operator is suspended after it has read the configuration, another
