--- a/packages/core/host_state.ts
+++ b/packages/core/host_state.ts
@@ -14,7 +14,7 @@
 import * as preemption from "./preemption.ts";
 import * as quarantine from "./quarantine.ts";
 import * as queue from "./queue.ts";
-import * as reading from "./prefill_averages.ts";
+import * as prefillAverages from "./prefill_averages.ts";
 import * as refusals from "./refusals.ts";
 import type * as request from "./request.ts";
 import * as retry from "./retry.ts";
@@ -63,7 +63,7 @@
   readonly suspects: quarantine.SuspectTable;
   readonly prompts: engineChoice.PromptLengths;
   /** Average number of requests whose prompt is not prefilled yet, by target. */
-  readonly reading: reading.PrefillAverages;
+  readonly reading: prefillAverages.PrefillAverages;
   /** Pauses of streams whose engine prefills long prompts. */
   readonly pauses: pauses.TokenPauseCounter;
   /** Unresponsive servers of other failure domains. */
@@ -100,7 +100,7 @@
     credits: new fairness.ShareCredits(),
     suspects: new quarantine.SuspectTable(options.suspects),
     prompts,
-    reading: new reading.PrefillAverages(),
+    reading: new prefillAverages.PrefillAverages(),
     pauses: new pauses.TokenPauseCounter(),
     domainFailures: new domainFailureDetector.DomainFailureDetector(),
     coldPermits: permits,
