--- a/packages/fleet/orders_fuzz_test.ts
+++ b/packages/fleet/orders_fuzz_test.ts
@@ -167,7 +167,7 @@
   }
 }
 
-// Guards against orders of two leaders at the same time. Hosts freeze, leases
+// Guards against orders of two leaders at the same time. Hosts are suspended, leases
 // expire and messages are lost in random order.
 tap.t.test("orders come from one leader at a time", async (t) => {
   let obeyed = 0;
@@ -193,25 +193,25 @@
 }
 
 tap.t.test(
-  "a leader that was frozen while it stored an order does not send it",
+  "a leader that was suspended while it stored an order does not send it",
   async (t) => {
     // Guards against a pool that returns to an outdated size. Host 0 stores its
-    // intent and is frozen before it receives the response. Its lease expires, host 1
+    // intent and is suspended before it receives the response. Its lease expires, host 1
     // acquires the role and sends an order, then host 0 resumes. The lease must be
-    // checked in the same turn as the send, on a clock that runs while frozen.
+    // checked in the same turn as the send, on a clock that runs while suspended.
     const harness = await runHistory([
       { kind: "lead", host: 0 },
       { kind: "advance", ms: 2_600 },
       { kind: "order", host: 0, count: 1 },
       { kind: "deliver", pick: 0, fate: "answered" },
-      { kind: "freeze", host: 0 },
+      { kind: "suspend", host: 0 },
       { kind: "deliver", pick: 0, fate: "answered" },
       { kind: "advance", ms: 8_000 },
       { kind: "lead", host: 1 },
       { kind: "advance", ms: 2_600 },
       { kind: "order_whole", host: 1, count: 2 },
       { kind: "arrive", pick: 0 },
-      { kind: "thaw", host: 0 },
+      { kind: "resume", host: 0 },
       { kind: "arrive", pick: 0 },
     ]);
     t.equal(harness.acceptedOrders, 1, "only the order of host 1 arrived");
--- a/packages/store/config_store_fuzz_test.ts
+++ b/packages/store/config_store_fuzz_test.ts
@@ -192,12 +192,12 @@
       { kind: "publish", actor: 0 },
       { kind: "deliver", pick: 0, fate: "answered" },
       { kind: "deliver", pick: 0, fate: "answered" },
-      { kind: "freeze", host: 0 },
+      { kind: "suspend", host: 0 },
       { kind: "deliver", pick: 0, fate: "answered" },
       { kind: "publish_many", actor: 1 },
       { kind: "publish_many", actor: 1 },
       { kind: "publish_many", actor: 1 },
-      { kind: "thaw", host: 0 },
+      { kind: "resume", host: 0 },
       { kind: "deliver_all" },
     ];
     for (const next of steps) await harness.run(next);
--- a/packages/store/simulated_hosts.ts
+++ b/packages/store/simulated_hosts.ts
@@ -12,8 +12,8 @@
   | { readonly kind: "deliver_all" }
   | { readonly kind: "deliver_delayed"; readonly pick: number }
   | { readonly kind: "advance"; readonly ms: number }
-  | { readonly kind: "freeze"; readonly host: number }
-  | { readonly kind: "thaw"; readonly host: number }
+  | { readonly kind: "suspend"; readonly host: number }
+  | { readonly kind: "resume"; readonly host: number }
   | { readonly kind: "cut"; readonly host: number }
   | { readonly kind: "heal"; readonly host: number };
 
@@ -69,10 +69,10 @@
         ms: fc.constantFrom(...advances),
       }),
     },
-    ...(["freeze", "thaw", "cut", "heal"] as const).map((kind) => ({
+    ...(["suspend", "resume", "cut", "heal"] as const).map((kind) => ({
       // Faults end more often than they begin; otherwise most hosts would be
       // suspended or disconnected most of the time.
-      weight: kind === "thaw" || kind === "heal" ? 3 : 1,
+      weight: kind === "resume" || kind === "heal" ? 3 : 1,
       arbitrary: fc.record({ kind: fc.constant(kind), host }),
     })),
   );
@@ -82,7 +82,7 @@
 export class SimWorld {
   now = 0;
   readonly store = new simulatedStore.SimStore(() => this.now);
-  /** Clock of all hosts; it advances while a host is frozen. */
+  /** Clock of all hosts; it advances while a host is suspended. */
   readonly clock = { now: () => this.now, wall: () => this.now };
 
   readonly #busy = new Set<string>();
@@ -93,13 +93,13 @@
     return `h${host}`;
   }
 
-  isFrozen(host: number): boolean {
-    return this.store.isFrozen(this.getName(host));
+  isPaused(host: number): boolean {
+    return this.store.isPaused(this.getName(host));
   }
 
   /**
    * Starts a task of a host and runs it until it waits for the store. A host runs
-   * one instance of a task at a time, and starts none while it is frozen. An error
+   * one instance of a task at a time, and starts none while it is suspended. An error
    * thrown by the task is rethrown by the next step of the simulation.
    */
   async spawn(
@@ -107,7 +107,7 @@
     work: () => Promise<void>,
   ): Promise<void> {
     const id = `${task.name}/${task.host}`;
-    if (this.#busy.has(id) || this.isFrozen(task.host)) return;
+    if (this.#busy.has(id) || this.isPaused(task.host)) return;
     this.#busy.add(id);
     work().catch((thrown) => {
       this.#failure ??= thrown;
@@ -138,11 +138,11 @@
       case "advance":
         this.now += step.ms;
         break;
-      case "freeze":
-        this.store.freeze(this.getName(step.host));
+      case "suspend":
+        this.store.suspend(this.getName(step.host));
         break;
-      case "thaw":
-        this.store.thaw(this.getName(step.host));
+      case "resume":
+        this.store.resume(this.getName(step.host));
         break;
       case "cut":
         this.store.unreachable.add(this.getName(step.host));
@@ -157,7 +157,7 @@
   /** Ends all faults and answers calls until none is pending. */
   async settle(hosts: number): Promise<void> {
     for (let host = 0; host < hosts; host += 1) {
-      await this.run({ kind: "thaw", host });
+      await this.run({ kind: "resume", host });
       await this.run({ kind: "heal", host });
     }
     await this.answerAll();
--- a/packages/store/simulated_store.ts
+++ b/packages/store/simulated_store.ts
@@ -73,18 +73,18 @@
     this.#apply(this.#delayed.splice(pick % this.#delayed.length, 1)[0]);
   }
 
-  /** Suspends a host: it receives no responses until it is thawed. */
-  freeze(host: string): void {
+  /** Suspends a host: it receives no responses until it is resumed. */
+  suspend(host: string): void {
     if (!this.#heldResponses.has(host)) this.#heldResponses.set(host, []);
   }
 
-  thaw(host: string): void {
+  resume(host: string): void {
     const held = this.#heldResponses.get(host) ?? [];
     this.#heldResponses.delete(host);
     held.forEach((deliver) => deliver());
   }
 
-  isFrozen(host: string): boolean {
+  isPaused(host: string): boolean {
     return this.#heldResponses.has(host);
   }
 
--- a/packages/usage/reporter_fuzz_test.ts
+++ b/packages/usage/reporter_fuzz_test.ts
@@ -163,7 +163,7 @@
   }
 
   #record(host: number): void {
-    if (this.world.isFrozen(host)) return;
+    if (this.world.isPaused(host)) return;
     const simHost = this.hosts[host];
     simHost.recorded += 1;
     simHost.ledger.record(Math.floor(this.world.now / WINDOW_MS), {
@@ -178,7 +178,7 @@
   }
 
   #flush(next: Omit<Extract<Step, { kind: "flush" }>, "kind">): void {
-    if (this.world.isFrozen(next.host) || this.world.isFrozen(next.to)) return;
+    if (this.world.isPaused(next.host) || this.world.isPaused(next.to)) return;
     const from = this.hosts[next.host];
     const to = this.hosts[next.to];
     const batches = from.ledger.listBatches();
@@ -262,7 +262,7 @@
     this.gone.push(this.hosts[host]);
     this.crashes += 1;
     this.hosts[host] = this.#createHost(host);
-    this.world.store.thaw(this.world.getName(host));
+    this.world.store.resume(this.world.getName(host));
   }
 
   /** Ends all faults and checks that the usage of every surviving host is reported. */
@@ -315,7 +315,7 @@
 }
 
 // Guards against usage that is lost, counted twice or reported with different
-// figures. Hosts freeze, crash and lose messages in random order.
+// figures. Hosts are suspended, crash, and lose messages in random order.
 tap.t.test(
   "windows are reported with the same figures and without loss",
   async (t) => {
@@ -337,10 +337,10 @@
 );
 
 tap.t.test(
-  "a host that was frozen does not report after its lease has expired",
+  "a host that was suspended does not report after its lease has expired",
   async (t) => {
     // Guards against two hosts that report the same window. Host 0 finalises a window
-    // and is frozen before it receives the store's response. Its lease expires, host
+    // and is suspended before it receives the store's response. Its lease expires, host
     // 1 acquires the role and reports more usage, then host 0 resumes.
     const harness = new Harness();
     const steps: Step[] = [
@@ -351,7 +351,7 @@
       { kind: "lead", host: 0 },
       { kind: "report", host: 0 },
       { kind: "deliver", pick: 0, fate: "answered" },
-      { kind: "freeze", host: 0 },
+      { kind: "suspend", host: 0 },
       { kind: "advance", ms: 8_000 },
       { kind: "lead", host: 1 },
       { kind: "record", host: 1 },
@@ -360,7 +360,7 @@
       { kind: "report_whole", host: 1 },
       { kind: "arrive", pick: 0, answered: true },
       { kind: "deliver_all" },
-      { kind: "thaw", host: 0 },
+      { kind: "resume", host: 0 },
       { kind: "deliver_all" },
       { kind: "arrive", pick: 0, answered: true },
       { kind: "deliver_all" },
--- a/scripts/check_style.ts
+++ b/scripts/check_style.ts
@@ -18,13 +18,13 @@
     "classify clear close collect commit compact compare complete compute " +
     "confirm connect copy count crash create decide decode defend deliver describe dispatch " +
     "divide drain draw drop eject encode end estimate exceeds expire explain export fail fetch " +
-    "fill filter find finish fix flush forget format forward freeze generate get give go grant handle " +
+    "fill filter find finish fix flush forget format forward generate get give go grant handle " +
     "has hash hold index inspect is issue join keep leave list listen load make " +
     "mark may measure merge move must needs normalize note notify obey open order parse pass peek pick plan " +
     "poll postpone preempt prefill print publish pull push put queue quote rank read recognise record " +
-    "refuse release remove render renew repeat replay report requeue resolve restart return revoke route " +
+    "refuse release remove render renew repeat replay report requeue resolve restart resume return revoke route " +
     "run save scale schedule score seal select send separate serve set settle shed shorten show shuffle simulate sleep spawn " +
-    "split spread spread start step stop store sum suspect suggest swap take tell thaw tick tidy to " +
+    "split spread spread start step stop store sum suspect suggest suspend swap take tell tick tidy to " +
     "touch try update use verify wait walk watch with withdraw work write")
     .split(" "),
 );
