--- a/scripts/mutations.ts
+++ b/scripts/mutations.ts
@@ -23,7 +23,7 @@
 const ROUTING = "packages/core/routing_test.ts";
 const DISPATCHER = "packages/core/dispatcher_fuzz_test.ts";
 const ABANDONED = "packages/service/abandoned_request_test.ts";
-const CALLERS_LEFT = "platform/callers_left_test.ts";
+const CALLER_DISCONNECTS = "platform/caller_disconnects_test.ts";
 
 /** All mutations. */
 export const MUTATIONS: readonly Mutation[] = [
@@ -332,6 +332,6 @@
     file: "packages/banyangrade/gateway/request_handler.ts",
     find: "await utils.waitForSocketPoll();",
     replace: "",
-    test: CALLERS_LEFT,
+    test: CALLER_DISCONNECTS,
   },
 ];
