--- a/packages/core/server_eligibility.ts
+++ b/packages/core/server_eligibility.ts
@@ -51,9 +51,12 @@
  */
 export function isWithinGuarantee(
   pool: serverState.PoolState,
-  { request, options }: { request: request.Request; options: GuaranteeOptions },
+  { request, options: guarantee }: {
+    request: request.Request;
+    options: GuaranteeOptions;
+  },
 ): boolean {
   const running = pool.runningByClass.get(request.className) ?? 0;
-  return options.hasCredit && !pool.remote &&
-    running < options.guaranteedSlots(pool);
+  return guarantee.hasCredit && !pool.remote &&
+    running < guarantee.guaranteedSlots(pool);
 }
