--- a/scripts/check_style.ts
+++ b/scripts/check_style.ts
@@ -19,15 +19,15 @@
     "compute confirm connect copy count crash create decide decode deliver " +
     "describe dispatch divide drain draw drop eject encode end estimate " +
     "exceeds expire explain fail fetch filter find finish fix flush forget " +
-    "format forward freeze get grant handle has hash hold index inspect is " +
-    "issue keep leave list listen load make mark may measure merge notify " +
-    "open order parse peek pick plan poll postpone preempt prefill print " +
-    "publish pull push put rank read recognise record refuse release remove " +
-    "render renew repeat replay report requeue resolve restart revoke run " +
+    "format forward get grant handle has hash hold index inspect is issue " +
+    "keep leave list listen load make mark may measure merge notify open " +
+    "order parse peek pick plan poll postpone preempt prefill print publish " +
+    "pull push put rank read recognise record refuse release remove render " +
+    "renew repeat replay report requeue resolve restart resume revoke run " +
     "schedule score select send separate serve set settle shed shorten show " +
-    "simulate spawn split spread start step stop suggest sum swap take thaw " +
-    "tick tidy to touch try update use verify wait walk watch with withdraw " +
-    "work write")
+    "simulate spawn split spread start step stop suggest sum suspend swap " +
+    "take tick tidy to touch try update use verify wait walk watch with " +
+    "withdraw work write")
     .split(" "),
 );
 
